--- a/features/steps/advice_failure_steps.py
+++ b/features/steps/advice_failure_steps.py
@@ -16,7 +16,7 @@
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.advice_desk import AdviceDesk
 from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import length_of
+from onyxspoke.core.placement.advice_places import call_length
 from onyxspoke.core.placement.queue_order import StepRank, step_rank_of
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
 
@@ -152,18 +152,18 @@
 
 
 def _check_pass(desk: _Desk, started: list[AdviceCall]) -> None:
-    out = list(desk.desk._under_way.values())
+    out = list(desk.desk._in_flight.values())
     for name in _ENTRIES:
         assert sum(call.advisor == name for call in out) <= 2
     for call in started:
         assert call.progress.waiting, call
         assert call.progress.over_quota_since is None
-        for other in desk.desk._line:
-            is_alike = length_of(other.seconds) is length_of(call.seconds)
+        for other in desk.desk._queue:
+            is_alike = call_length(other.seconds) is call_length(call.seconds)
             if is_alike and other.seconds >= call.seconds and other.rank.is_owed:
                 assert (call.rank, call.number) < (other.rank, other.number)
     for key, advice in desk.desk._steps.items():
-        numbers = [call.number for call in (*out, *desk.desk._line) if call.step == key]
+        numbers = [call.number for call in (*out, *desk.desk._queue) if call.step == key]
         assert sorted(advice.open_calls) == sorted(numbers), (key, advice.open_calls)
 
 
@@ -194,13 +194,13 @@
                 call = desk.out.pop(values[0] % len(desk.out))
                 outcome = AdviceOutcome("answered" if operation == "answer" else "busy")
                 desk.answer(call, call.call_id, outcome)
-        wanted = [call.progress for call in desk.desk._line if call.rank.is_owed]
+        wanted = [call.progress for call in desk.desk._queue if call.rank.is_owed]
         desk.answered.clear()
         desk.play(20.0)
         for step in wanted:
             expired = desk.rank(step).is_expired
             assert not step.waiting or expired or step.job.job_id in desk.answered
-        assert not desk.desk._under_way
+        assert not desk.desk._in_flight
 
     play()
 
@@ -241,7 +241,7 @@
     desk = context.desk
     name = _ENTRIES[number - 1]
     context.lost = [call.step for call in desk.out if call.advisor == name]
-    context.load = desk.desk._entries.places.owed_load(length_of(0.2), desk.now)
+    context.load = desk.desk._entries.partition.entitled_load(call_length(0.2), desk.now)
     desk.desk.set_advisors([entry for entry in _ENTRIES[:4] if entry != name], desk.now)
     assert desk.desk.has_moved_calls
 
@@ -255,7 +255,7 @@
         desk.answer(call, call.call_id, AdviceOutcome.ANSWERED)
     started = desk.make_pass(0.0)
     assert [call.step for call in started[: len(context.lost)]] == context.lost
-    assert desk.desk._entries.places.owed_load(length_of(0.2), desk.now) == context.load
+    assert desk.desk._entries.partition.entitled_load(call_length(0.2), desk.now) == context.load
 
 
 @when("the answer is {late:g} seconds late, and comes before the call was made again")
@@ -334,13 +334,13 @@
 @when("one of the waiting steps is placed, one is over its quota and one expires")
 def _unwanted(context: Any) -> None:
     desk = context.desk
-    waiting = [call.progress for call in desk.desk._line]
+    waiting = [call.progress for call in desk.desk._queue]
     context.unwanted = placed, over_quota, expired = waiting[3], waiting[5], waiting[7]
     _place(placed)
     over_quota.note_quota(True, desk.now)
     expired.due_at -= 1_000.0
-    for call in desk.desk._line:
-        call.rank_holds_until = desk.now
+    for call in desk.desk._queue:
+        call.rank_valid_until = desk.now
     sent = len(desk.sent)
     for call in desk.out:
         desk.answer(call, call.call_id, AdviceOutcome.ANSWERED)
@@ -349,7 +349,7 @@
 
 
 @then("none of the three is asked about, and all others are")
-def _not_asked(context: Any) -> None:
+def _unqueried_workers(context: Any) -> None:
     asked = {call.step for call in context.sent}
     assert not asked & {step.key for step in context.unwanted}
     assert len(asked) == len(context.steps) - 2 - len(context.unwanted)
@@ -397,7 +397,7 @@
 
 @then("every waiting call stands where its step does")
 def _stands(context: Any) -> None:
-    waiting = list(context.desk.desk._line)
+    waiting = list(context.desk.desk._queue)
     assert len(waiting) > 10
     for call in waiting:
         assert call.rank == context.desk.rank(call.progress), call
@@ -423,7 +423,7 @@
     desk.want(context.step, 25)
     desk.make_pass(0.02)
     assert desk.desk._last_call_id == context.call_id
-    assert [call.call_id for call in desk.desk._under_way.values()] == [context.call_id]
+    assert [call.call_id for call in desk.desk._in_flight.values()] == [context.call_id]
 
 
 @when(
--- a/features/steps/advice_full_cell_steps.py
+++ b/features/steps/advice_full_cell_steps.py
@@ -41,7 +41,7 @@
     cell.run(30.0)
     first: dict[str, float] = {}
     for call in cell.calls:
-        first.setdefault(call.step.job_id, call.begun_at)
+        first.setdefault(call.step.job_id, call.started_at)
     asked_at = first[context.owed.job_id]
     assert asked_at < min(first[job.job_id] for job in context.flood)
 
--- a/features/steps/advice_line_steps.py
+++ b/features/steps/advice_line_steps.py
@@ -24,7 +24,7 @@
 
 
 def _first_by_name(chooser: AdviceChooser, _most: int, advice: Any) -> list[str]:
-    return sorted(worker.worker_id for worker in chooser._not_asked(advice))[:100]
+    return sorted(worker.worker_id for worker in chooser._unqueried_workers(advice))[:100]
 
 
 @when(
@@ -215,10 +215,10 @@
         for kind, rate in (("urgent", urgent), ("patient", patient), ("gang", gang)):
             cell.hand_in_evenly(kind, float(rate), 0.0, float(seconds))
         cell.run(seconds + AFTERMATH_SECONDS)
-    begun_at: dict[Any, float] = {}
+    started_at: dict[Any, float] = {}
     for call in cell.calls:
-        begun_at.setdefault(call.step, call.begun_at)
-    context.waits = [(wait, begun_at[key] - at) for key, (wait, at) in foretold.items()]
+        started_at.setdefault(call.step, call.started_at)
+    context.waits = [(wait, started_at[key] - at) for key, (wait, at) in foretold.items()]
 
 
 @then(
--- a/features/steps/naive_advice.py
+++ b/features/steps/naive_advice.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxspoke.core.placement.advice_places import SHORT_CALL_SECONDS, AdvicePlaces
+from onyxspoke.core.placement.advice_places import MAXIMUM_SHORT_CALL_SECONDS, AdvicePlaces
 
 
 @dataclass
@@ -17,7 +17,7 @@
     seconds: float
     rank: Any
     entry: str = ""
-    begun_at: float = 0.0
+    started_at: float = 0.0
     overdue_at: float = math.inf
 
 
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.names: list[str] = []
         self.free_at: dict[str, float] = {}
-        self.doubted_until: dict[str, float] = {}
+        self.suspected_until: dict[str, float] = {}
         self.waiting: list[_Call] = []
         self.out: list[_Call] = []
         self.open: dict[Any, int] = {}
@@ -41,7 +41,7 @@
         self.names = names
         for name in gone:
             self.free_at.pop(name, None)
-            self.doubted_until.pop(name, None)
+            self.suspected_until.pop(name, None)
         for call in [call for call in self.out if call.entry not in names]:
             self.give_up(call, now)
 
@@ -50,7 +50,7 @@
             return
         self.count += 1
         self.open[step] = self.open.get(step, 0) + 1
-        self.places.note_call(seconds, now)
+        self.places.record_call(seconds, now)
         self.waiting.append(_Call(self.count, step, seconds, rank))
 
     def dispatch(self, now: float) -> list[tuple[int, str]]:
@@ -62,32 +62,32 @@
             if not scores or scores[0][1] - now > call.seconds:
                 continue
             call.entry = scores[0][-1]
-            call.begun_at = scores[0][1]
-            self.free_at[call.entry] = call.begun_at + call.seconds
+            call.started_at = scores[0][1]
+            self.free_at[call.entry] = call.started_at + call.seconds
             expected = call.seconds * max(1.0, self.slowness)
             # As the desk reckons: to the last bit.
-            begun_at = self.free_at[call.entry] - call.seconds
-            call.begun_at = begun_at
-            call.overdue_at = begun_at + 1.5 * expected + 0.3
+            started_at = self.free_at[call.entry] - call.seconds
+            call.started_at = started_at
+            call.overdue_at = started_at + 1.5 * expected + 0.3
             self.waiting.remove(call)
             self.out.append(call)
             sent.append((call.number, call.entry))
         return sent
 
     def score(self, name: str, call: _Call, now: float) -> list[tuple[Any, ...]]:
-        first, behind = self.places.places_for(call.seconds, len(self.names), now)
+        first, behind = self.places.entry_range(call.seconds, len(self.names), now)
         place = self.names.index(name)
         if place < first or sum(other.entry == name for other in self.out) >= 2:
             return []
         preference = zlib.crc32(f"0/{name}".encode()) if place else -1
         free_at = max(self.free_at.get(name, 0.0), now)
-        is_doubted = now < self.doubted_until.get(name, 0.0)
+        is_doubted = now < self.suspected_until.get(name, 0.0)
         return [(is_doubted, free_at, place >= behind, preference, name)]
 
     def answer(self, number: int, now: float) -> None:
         for call in [call for call in self.out if call.number == number]:
-            took = max(0.0, now - call.begun_at)
-            self.slowness = took / max(call.seconds, SHORT_CALL_SECONDS)
+            took = max(0.0, now - call.started_at)
+            self.slowness = took / max(call.seconds, MAXIMUM_SHORT_CALL_SECONDS)
             self.end(call, now)
             self.open[call.step] -= 1
 
@@ -98,7 +98,7 @@
     def give_up(self, call: _Call, now: float) -> None:
         self.end(call, now)
         if call.entry in self.names:
-            self.doubted_until[call.entry] = now + 1.0
+            self.suspected_until[call.entry] = now + 1.0
         self.open[call.step] -= 1
         self.retry_at[call.step] = now + 0.1
 
--- a/src/onyxspoke/core/placement/advice_choice.py
+++ b/src/onyxspoke/core/placement/advice_choice.py
@@ -1,8 +1,8 @@
-"""About which workers advice is asked: as few as are likely to have the room that is needed.
+"""Selects the workers that a call to the advice service names.
 
-A call for advice takes longer the more workers it names, and each entry carries one call at a
-time.  A call about a hundred workers is a long one, and waits behind those of gangs: in a cell of
-299 workers the steps of one queue hardly ran at all.
+A call takes longer the more workers it names, and the service handles one call per entry at a
+time.  So a call names only as many workers as are likely to provide the capacity that the step
+needs.  Long calls would also queue behind the calls of gangs and starve the steps of other queues.
 """
 
 from __future__ import annotations
@@ -19,159 +19,185 @@
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.workers import Worker
 
-#: Room that is asked about, as a multiple of what is needed, where there is so much: fewer than the
-#: expected workers may be good, and others take some of the room while the service answers.
-ROOM_FACTOR = 2.0
-#: The same of the whole capacity, where there is not enough room yet: most of a busy cell is taken.
-CAPACITY_FACTOR = 4.0
-#: Workers in a first call at least, where there are as many: a call's own share makes up most of a
-#: smaller one, and a step that has to wait for room is to have some choice.
+#: Free capacity of the workers that a call names, as a multiple of the capacity that the step
+#: needs.  The service may approve fewer workers than expected, and other steps may take some of the
+#: capacity before the service answers.
+FREE_CAPACITY_FACTOR = 2.0
+#: Total capacity of the workers that a call names, as a multiple of the capacity that the step
+#: needs.  It applies while too little capacity is free, because a busy cell has most of it in use.
+TOTAL_CAPACITY_FACTOR = 4.0
+#: Minimum number of workers in a call, if the service has that many.  The fixed cost of a call
+#: dominates below this size, and a step that waits for capacity needs a choice of workers.
 FEWEST_ASKED = 24
-#: Workers in one call at most; the service's bound.
+#: Maximum number of workers in one call; the advice service enforces this limit.
 MAXIMUM_WORKERS_ASKED = 100
-#: Workers in one of several calls about a step at least, where there are as many.
+#: Minimum number of workers in each call when a gang's workers are split over several calls.
 MINIMUM_WORKERS_ASKED = 24
-#: Workers that came into use, or gained room, are asked about again after so many times what the
-#: call takes: a step that waits asks for at most a fifth of the time.
-PAUSE_FACTOR = 5.0
+#: Interval between two calls about new workers, as a multiple of the duration of such a call.  A
+#: waiting step thus occupies an entry for at most a fifth of the time.
+CALL_INTERVAL_FACTOR = 5.0
 
-SlotsOf = Callable[[Worker], int]
+SlotCounter = Callable[[Worker], int]
 
 
 class AdviceChooser:
-    """Chooses workers to ask about for one step, as one pass of placement sees them.
+    """Selects the workers to query for one step during one placement pass.
 
     Parameters
     ----------
     step : StepProgress
-        The step that waits.
+        The waiting step.
     offer : Offer
-        The workers of its service.
-    room : ScratchRoom
-        What they have left.
+        The schedulable workers of the step's service.
+    free_capacity : ScratchRoom
+        The capacity that the placement pass has left on each worker.
     good_share : float
-        Share of the workers that is expected to be good for it.
+        Expected share of workers that the advice service approves for the step, from 0 to 1.
     """
 
     def __init__(
-        self, step: StepProgress, offer: Offer, room: ScratchRoom, good_share: float
+        self, step: StepProgress, offer: Offer, free_capacity: ScratchRoom, good_share: float
     ) -> None:
         self._step = step
-        self._offer = offer
-        self._room = room
-        self._good_share = good_share
-        self._bound = step.most_on_a_worker
-        #: Tasks that each worker has already, where their spread is bounded.
-        self._counts = counts_on_workers(step)
+        self._schedulable = offer
+        self._free_capacity = free_capacity
+        self._approval_rate = good_share
+        self._task_limit = step.most_on_a_worker
+        #: Number of the step's tasks on each worker; empty unless the step has a spread limit.
+        self._task_counts = counts_on_workers(step)
 
     def unknown(self, most: int, advice: StepAdvice) -> list[WorkerId]:
-        """Return whom to ask about for a step of which ``most`` tasks may start."""
-        workers = self._not_asked(advice)
-        wanted = most * ROOM_FACTOR
-        chosen, found = self._until_enough(workers, wanted, self.slots_now)
-        if found < wanted:
-            # There is not enough room for all yet: the step will wait for some.
-            wanted = most * CAPACITY_FACTOR
-            chosen, _found = self._until_enough(workers, wanted, self._slots_ever)
-        return _names(chosen)
-
-    def unknown_with_room(self, missing: int, advice: StepAdvice) -> list[WorkerId]:
-        """Return others that have room now, enough for so many tasks that lack it."""
-        workers = [worker for worker in self._not_asked(advice) if self.slots_now(worker) > 0]
-        chosen, _found = self._until_enough(workers, missing * ROOM_FACTOR, self.slots_now)
-        return _names(chosen)
+        """Return the workers for the first call about a step of which ``most`` tasks may start."""
+        workers = self._unqueried_workers(advice)
+        wanted_slots = most * FREE_CAPACITY_FACTOR
+        selected, expected_slots = self._select_until_enough(workers, wanted_slots, self.slots_now)
+        if expected_slots < wanted_slots:
+            # Too little capacity is free for all tasks, so some of them will have to wait.
+            wanted_slots = most * TOTAL_CAPACITY_FACTOR
+            selected, _expected_slots = self._select_until_enough(
+                workers, wanted_slots, self._total_slots
+            )
+        return _worker_ids(selected)
+
+    def unknown_with_room(self, missing_tasks: int, advice: StepAdvice) -> list[WorkerId]:
+        """Return unqueried workers with enough free capacity for ``missing_tasks`` tasks."""
+        workers = [
+            worker for worker in self._unqueried_workers(advice) if self.slots_now(worker) > 0
+        ]
+        selected, _expected_slots = self._select_until_enough(
+            workers, missing_tasks * FREE_CAPACITY_FACTOR, self.slots_now
+        )
+        return _worker_ids(selected)
 
     def all_unknown(self, advice: StepAdvice) -> list[WorkerId]:
-        """Return all that were not asked about."""
-        return sorted(_names(self._not_asked(advice)))
+        """Return all workers that have not been queried for the step."""
+        return sorted(_worker_ids(self._unqueried_workers(advice)))
+
+    def again(self, missing_tasks: int, advice: StepAdvice, now: float) -> list[WorkerId]:
+        """Return approved workers whose tickets have expired, enough for ``missing_tasks`` tasks.
 
-    def again(self, missing: int, advice: StepAdvice, now: float) -> list[WorkerId]:
-        """Return good workers with room whose tickets have run out, enough for so many tasks."""
+        Workers without free capacity are left out.
+        """
         names: list[WorkerId] = []
-        for worker_id, held in advice.tickets.items():
-            worker = self._offer.workers.get(worker_id)
-            if worker is None or now < held.use_before:
+        for worker_id, ticket in advice.tickets.items():
+            worker = self._schedulable.workers.get(worker_id)
+            if worker is None or now < ticket.use_before:
                 continue
             slots = self.slots_now(worker)
             if slots > 0:
                 names.append(worker_id)
-                missing -= slots
-                if missing <= 0:
+                missing_tasks -= slots
+                if missing_tasks <= 0:
                     break
         return names
 
-    def again_for_long(self, missing: int, advice: StepAdvice, now: float) -> list[WorkerId]:
-        """Return the same, and others that are good: they may gain room while tickets hold.
+    def again_for_long(self, missing_tasks: int, advice: StepAdvice, now: float) -> list[WorkerId]:
+        """Return the workers of ``again``, and approved workers that may gain free capacity soon.
 
-        A call's own share makes up most of one about a few workers.  So a step that waits for room
-        asks about all that it may use next, once in a ticket's validity, and not at each gain.
+        The fixed cost dominates a call about a few workers.  So a step that waits for capacity
+        renews the tickets that it may use next in one call per ticket validity, not in one call
+        each time that a worker gains free capacity.
         """
-        names = self.again(missing, advice, now)
+        names = self.again(missing_tasks, advice, now)
         if not names:
             return names
-        others = [
+        further_ids = [
             worker_id
-            for worker_id, held in advice.tickets.items()
-            if now >= held.use_before and worker_id in self._offer.workers
+            for worker_id, ticket in advice.tickets.items()
+            if now >= ticket.use_before and worker_id in self._schedulable.workers
         ]
-        return list(dict.fromkeys(names + others))[: max(len(names), FEWEST_ASKED)]
+        return list(dict.fromkeys(names + further_ids))[: max(len(names), FEWEST_ASKED)]
 
-    def _not_asked(self, advice: StepAdvice) -> list[Worker]:
+    def _unqueried_workers(self, advice: StepAdvice) -> list[Worker]:
         return [
             worker
-            for worker_id, worker in self._offer.workers.items()
+            for worker_id, worker in self._schedulable.workers.items()
             if worker_id not in advice.asked and has_label(worker, self._step)
         ]
 
-    def _until_enough(
-        self, workers: list[Worker], wanted: float, slots_of: SlotsOf
+    def _select_until_enough(
+        self, workers: list[Worker], wanted_slots: float, slots_of: SlotCounter
     ) -> tuple[list[Worker], float]:
-        """Return the best workers until they are likely to have so much room, and how much."""
-        found = 0.0
-        chosen: list[Worker] = []
-        for worker in sorted(workers, key=self._order):
-            if found >= wanted and len(chosen) >= FEWEST_ASKED:
+        """Return the best workers that are expected to provide the wanted slots, and their slots.
+
+        The slots of a worker are weighted by the approval rate.
+        """
+        expected_slots = 0.0
+        selected: list[Worker] = []
+        for worker in sorted(workers, key=self._sort_key):
+            if expected_slots >= wanted_slots and len(selected) >= FEWEST_ASKED:
                 break
-            chosen.append(worker)
-            found += self._good_share * slots_of(worker)
-        return chosen, found
+            selected.append(worker)
+            expected_slots += self._approval_rate * slots_of(worker)
+        return selected, expected_slots
+
+    def _sort_key(self, worker: Worker) -> tuple[int, int]:
+        """Return the key that sorts a worker with more free slots before one with fewer.
 
-    def _order(self, worker: Worker) -> tuple[int, int]:
-        """Return a worker's place: most room now first, others in an order of each step's own."""
+        Ties are broken by a hash of job and worker, so that jobs prefer different workers.
+        """
         name = f"{self._step.key.job_id}/{worker.worker_id}"
         return -self.slots_now(worker), zlib.crc32(name.encode())
 
     def slots_now(self, worker: Worker) -> int:
-        """Return how many more tasks of the step a worker can take now."""
-        spread = self._bound - self._counts.get(worker.worker_id, 0)
-        return max(0, min(spread, self._room.slots(worker, self._step.needs)))
+        """Return how many more tasks of the step a worker can start now."""
+        tasks_allowed = self._task_limit - self._task_counts.get(worker.worker_id, 0)
+        return max(0, min(tasks_allowed, self._free_capacity.slots(worker, self._step.needs)))
 
-    def _slots_ever(self, worker: Worker) -> int:
-        return min(self._bound, slots_within(worker.record.capacity, self._step.needs))
+    def _total_slots(self, worker: Worker) -> int:
+        return min(self._task_limit, slots_within(worker.record.capacity, self._step.needs))
 
 
 def pause_seconds(policy: AdvicePolicy, count: int) -> float:
-    """Return how long after a call about others the next one is made."""
-    return PAUSE_FACTOR * policy.call_seconds(count)
+    """Return the least time, in seconds, between two calls of a step about new workers.
+
+    Parameters
+    ----------
+    count : int
+        Number of workers in the first of the two calls.
+    """
+    return CALL_INTERVAL_FACTOR * policy.call_seconds(count)
 
 
-def _names(workers: Iterable[Worker]) -> list[WorkerId]:
+def _worker_ids(workers: Iterable[Worker]) -> list[WorkerId]:
     return [worker.worker_id for worker in workers]
 
 
-def batches(
+def split_into_calls(
     step: StepProgress, policy: AdvicePolicy, worker_ids: list[WorkerId]
 ) -> list[tuple[WorkerId, ...]]:
-    """Return the workers to ask about, by call.
+    """Return the workers that each call about a step names.
 
-    Most steps do well with the workers of one call.  A gang wants to know all of them, and
-    sooner than one call after the other: so its calls go side by side, each of a size at which
-    the share that every call takes and the share of its workers are about alike.
+    One call is enough for most steps.  A gang needs advice on all of its workers soon, so its
+    workers are split over calls that run in parallel.  Each call is large enough that the time for
+    its workers about equals the fixed cost of a call.
     """
     if not step.spec.gang:
         return [tuple(worker_ids[:MAXIMUM_WORKERS_ASKED])]
-    balanced = int(policy.decide_ms / policy.per_item_ms) if policy.per_item_ms else len(worker_ids)
-    most = min(MAXIMUM_WORKERS_ASKED, max(balanced, MINIMUM_WORKERS_ASKED))
+    balanced_size = (
+        int(policy.decide_ms / policy.per_item_ms) if policy.per_item_ms else len(worker_ids)
+    )
+    most = min(MAXIMUM_WORKERS_ASKED, max(balanced_size, MINIMUM_WORKERS_ASKED))
     count = -(-len(worker_ids) // most)
     size = -(-len(worker_ids) // count)
-    return [tuple(worker_ids[at : at + size]) for at in range(0, len(worker_ids), size)]
+    return [tuple(worker_ids[start : start + size]) for start in range(0, len(worker_ids), size)]
--- a/src/onyxspoke/core/placement/advice_desk.py
+++ b/src/onyxspoke/core/placement/advice_desk.py
@@ -1,7 +1,7 @@
-"""Advice on which workers may run a step: whom to ask, through whom, and what was said.
+"""Dispatches calls to the advice service, and keeps its answers for each step.
 
-The advice service works for each calling machine on one call at a time, so calls are spread
-over the entries; see ``advice_places`` for which entry carries which call.
+The advice service decides which workers may run a step.  It handles one call per entry at a time,
+so calls are spread over the entries; ``advice_places`` decides which entry carries which call.
 """
 
 from __future__ import annotations
@@ -11,93 +11,94 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, StepKey, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import batches
-from onyxspoke.core.placement.advice_entries import AdviceEntries
-from onyxspoke.core.placement.advice_forecast import LineForecast
+from onyxspoke.core.placement.advice_choice import split_into_calls
+from onyxspoke.core.placement.advice_entries import AdviceEntryPool
+from onyxspoke.core.placement.advice_forecast import QueueForecast
 from onyxspoke.core.placement.advice_line import AdviceCall, AdviceLine
 from onyxspoke.core.placement.advice_notices import (
-    AdviceNotice,
-    advisor_doubted,
-    advisor_regained,
-    step_put_off,
+    AdviceLogEvent,
+    entry_recovered,
+    entry_suspected,
+    step_deferred,
 )
 from onyxspoke.core.placement.queue_order import StepRank
-from onyxspoke.core.placement.step_advice import GoodShare, StepAdvice, note_answer
+from onyxspoke.core.placement.step_advice import ApprovalRate, StepAdvice, record_answer
 from onyxspoke.core.shard.log_records import ShardId
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult
 
-#: An answer that comes later than this after its call was given up, in seconds, is of no use.
+#: An answer is ignored if it arrives more than this many seconds after its call was overdue.
 LATE_ANSWER_SECONDS = 10.0
-#: Pause after a refused or unanswered call before the step is asked about again.
-RETRY_SECONDS = 0.1
-#: After a longer pause between passes, in seconds, answers may have come that are not read yet.
-STALL_SECONDS = 0.1
+#: Delay, in seconds, before a step's advice is requested again after a failed call.
+RETRY_DELAY_SECONDS = 0.1
+#: If more seconds than this pass between two passes, the process has stalled, and answers may have
+#: arrived that it has not read yet.
+STALL_THRESHOLD_SECONDS = 0.1
 
 
 class AdviceDesk:
-    """Keeps advice by step and hands out the calls.
+    """Keeps the advice on each step and dispatches calls through the entries.
 
     Parameters
     ----------
     shard : int
-        Whose holder asks; holders of other shards use the same entries.
+        The shard whose holder makes the calls; holders of other shards use the same entries.
     has_shares : bool
-        Whether the line is a resource with shares: steps that are not owed take only what owed
-        ones leave, calls that are wanted no longer go, and calls out with an entry that does not
-        answer are made elsewhere at once.
+        Whether tenants share the entries fairly.  If so, steps that are not entitled use only the
+        entries that entitled steps leave free, calls that are no longer needed are dropped, and the
+        calls of an entry that does not answer are moved to other entries at once.
     """
 
     def __init__(self, shard: ShardId = 0, has_shares: bool = False) -> None:
         self.has_shares = has_shares
         self._steps: dict[StepKey, StepAdvice] = {}
-        self._entries = AdviceEntries(shard, has_shares)
-        self._line = AdviceLine(has_shares)
-        self._under_way: dict[int, AdviceCall] = {}
-        #: Calls that were given up, whose answers may come yet.
-        self._given_up: dict[int, AdviceCall] = {}
+        self._entries = AdviceEntryPool(shard, has_shares)
+        self._queue = AdviceLine(has_shares)
+        self._in_flight: dict[int, AdviceCall] = {}
+        #: Calls that timed out or failed, by call id; their answers may still arrive.
+        self._abandoned: dict[int, AdviceCall] = {}
         self._last_call_id = 0
-        #: Which share of the workers is good, by queue.
-        self._shares: dict[str, GoodShare] = {}
-        #: Steps whose call was given up, and from when on they may be asked about again.
-        self._retries: dict[StepKey, float] = {}
-        self._forecast: LineForecast | None = None
-        self._notices: list[AdviceNotice] = []
-        self._passed_at = math.inf
-        self._was_late = False
-        #: Whether calls went back into the line since the last pass.
+        #: Share of queried workers that the advice service approved, by queue.
+        self._approval_rates: dict[str, ApprovalRate] = {}
+        #: When the advice on a step may be requested again after a failed call.
+        self._retry_times: dict[StepKey, float] = {}
+        self._forecast: QueueForecast | None = None
+        self._log_events: list[AdviceLogEvent] = []
+        self._last_pass_at = math.inf
+        self._skipped_timeouts = False
+        #: Whether calls were put back into the queue since the last pass.
         self.has_moved_calls = False
 
     def set_advisors(self, names: list[str], now: float) -> None:
-        """Take the entries through which calls can go, the holder first; others' are lost."""
-        self._entries.set_names(names)
-        for call in list(self._under_way.values()):
+        """Replace the entries that carry calls, the holder first; calls of removed entries fail."""
+        self._entries.set_entries(names)
+        for call in list(self._in_flight.values()):
             if self._entries.find(call.advisor) is None:
-                self._give_up(call, now, "gone")
+                self._abandon(call, now, "gone")
 
     def advice_on(self, step: StepProgress) -> StepAdvice:
-        """Return what is known about a step."""
+        """Return the advice on a step; add an empty record if there is none."""
         advice = self._steps.get(step.key)
         if advice is None:
             advice = self._steps[step.key] = StepAdvice()
         return advice
 
     def known_advice(self, key: StepKey) -> StepAdvice | None:
-        """Return what is known about a step, if it was ever asked about."""
+        """Return the advice on a step, or ``None`` if there is no record of the step."""
         return self._steps.get(key)
 
     def workers_asked(self, key: StepKey) -> set[WorkerId]:
-        """Return the workers about which the answers on a step were received."""
+        """Return the workers that the received answers on a step cover."""
         advice = self._steps.get(key)
         return set() if advice is None else advice.asked
 
     def good_share(self, queue: str) -> float:
-        """Return which share of the workers is good for a queue's steps, by the answers so far."""
-        return self._shares.get(queue, GoodShare()).value
+        """Return the share of workers that the service has approved for a queue's steps."""
+        return self._approval_rates.get(queue, ApprovalRate()).value
 
     def forget(self, key: StepKey) -> None:
-        """Drop what is known about a step that needs no more tickets."""
+        """Drop the advice and the queued calls of a step that needs no more tickets."""
         self._steps.pop(key, None)
-        self._line.take_step(key)
+        self._queue.remove_step(key)
 
     def want(
         self,
@@ -107,187 +108,210 @@
         rank: StepRank,
         now: float,
     ) -> None:
-        """Ask about a step, unless that is under way; the lowest rank is asked first."""
+        """Queue calls about a step, unless the step has open calls; the lowest rank goes first."""
         advice = self.advice_on(step)
         if advice.is_asking or now < advice.retry_at or not worker_ids:
             return
-        for chosen in batches(step, policy, worker_ids):
+        for chosen in split_into_calls(step, policy, worker_ids):
             seconds = policy.call_seconds(len(chosen))
             self._last_call_id += 1
             number = self._last_call_id
             queue = step.job.spec.queue.name
             call = AdviceCall(number, step, queue, chosen, seconds, rank, now, number)
             advice.open_calls.add(number)
-            self._entries.places.note_call(seconds, now)
+            self._entries.partition.record_call(seconds, now)
             if rank.is_owed:
-                self._entries.places.note_owed(seconds, now)
-            self._line.add(call, now)
+                self._entries.partition.record_entitled_call(seconds, now)
+            self._queue.add(call, now)
 
     def dispatch(self, now: float) -> list[AdviceCall]:
-        """Return the calls to be made now, each with its advisor."""
-        if not self._may_be_unread(now):
-            for call in [call for call in self._under_way.values() if now >= call.overdue_at]:
-                if call.call_id in self._under_way:
-                    self._give_up(call, now, "overdue")
-        self._forget_given_up(now)
+        """Return the calls to make now, each assigned to an entry."""
+        if not self._may_have_unread_answers(now):
+            for call in [call for call in self._in_flight.values() if now >= call.overdue_at]:
+                if call.call_id in self._in_flight:
+                    self._abandon(call, now, "overdue")
+        self._forget_abandoned(now)
         self._entries.begin_pass(now)
         if self.has_shares:
-            self._drop_unwanted(now)
-        started, left = [], []
-        for call in self._line.in_order():
-            advisor = self._entries.choose(call, now)
-            if advisor is None:
-                left.append(call)
+            self._drop_unneeded(now)
+        dispatched, still_queued = [], []
+        for call in self._queue.by_rank():
+            entry = self._entries.choose_entry(call, now)
+            if entry is None:
+                still_queued.append(call)
                 continue
-            self._line.take(call.number)
-            self._entries.begin(call, advisor, now)
-            self._under_way[call.call_id] = call
-            started.append(call)
-        self._forecast = LineForecast(left, self._entries, now)
+            self._queue.remove(call.number)
+            self._entries.start_call(call, entry, now)
+            self._in_flight[call.call_id] = call
+            dispatched.append(call)
+        self._forecast = QueueForecast(still_queued, self._entries, now)
         self.has_moved_calls = False
-        return started
+        return dispatched
 
     def handle_result(self, call_id: int, result: AdviceResult, now: float) -> StepKey | None:
-        """Take an answer; return the step that it is about, if that is still wanted."""
-        call = self._under_way.get(call_id)
+        """Record the result of a call; return its step if new advice was stored."""
+        call = self._in_flight.get(call_id)
         if call is None:
             return self._handle_late_result(call_id, result, now)
         if result.outcome is not AdviceOutcome.ANSWERED:
-            self._give_up(call, now, result.outcome.value)
+            self._abandon(call, now, result.outcome.value)
             return None
-        self._entries.note_answer(call, now)
-        self._end(call, now)
-        self._note_trust(call, now)
-        return self._take_answer(call, result, now)
+        self._entries.record_answer(call, now)
+        self._finish_call(call, now)
+        self._note_recovery(call, now)
+        return self._apply_answer(call, result, now)
 
     def wait_seconds(self, call_seconds: float, rank: StepRank, now: float) -> float:
-        """Return about how long a call of a rank would wait until an entry takes it.
+        """Return the expected time, in seconds, until an entry takes a new call of a rank.
 
-        As of the last pass; 0 before the first.
+        The forecast dates from the last pass; the result is 0 before the first pass.
         """
         if self._forecast is None:
             return 0.0
         return self._forecast.wait_seconds(call_seconds, rank, now)
 
-    def take_notices(self, now: float) -> list[AdviceNotice]:
-        """Return what is to be told since the last call."""
-        notices, self._notices = self._notices, []
+    def take_notices(self, now: float) -> list[AdviceLogEvent]:
+        """Return the log events since the last call of this method."""
+        log_events, self._log_events = self._log_events, []
         if self.has_shares:
-            notices += [
-                AdviceNotice("advice_line", fields) for fields in self._line.take_report(now)
+            log_events += [
+                AdviceLogEvent("advice_line", fields) for fields in self._queue.report_if_long(now)
             ]
-        return notices
+        return log_events
 
     def take_due_retries(self, now: float) -> list[StepKey]:
-        """Return the steps whose call was given up, and that may be asked about again."""
-        due = [step for step, retry_at in self._retries.items() if now >= retry_at]
+        """Remove and return the steps whose advice may be requested again after a failed call."""
+        due = [step for step, retry_at in self._retry_times.items() if now >= retry_at]
         for step in due:
-            del self._retries[step]
+            del self._retry_times[step]
         return due
 
     def forget_worker(self, worker_id: WorkerId) -> None:
-        """Another life has the name: tickets were for the former one, and it may be of any kind."""
+        """Drop all advice on a worker whose name belongs to a new incarnation.
+
+        Tickets are valid for one incarnation only, and the new one may have other resources.
+        """
         for advice in self._steps.values():
             advice.tickets.pop(worker_id, None)
             advice.asked.discard(worker_id)
 
     def drop_ticket(self, step: StepKey, worker_id: WorkerId) -> None:
-        """A worker refused a ticket; it is not used again."""
+        """Invalidate a ticket that its worker has refused."""
         advice = self._steps.get(step)
         if advice is not None and worker_id in advice.tickets:
             advice.tickets[worker_id].use_before = 0.0
 
-    def note_put_off(self, step: StepProgress, ahead_milli: int, room_milli: int) -> None:
-        """A step does not ask yet, because what goes before it takes the room; told once."""
+    def note_deferred(
+        self, step: StepProgress, queued_before_milli: int, capacity_milli: int
+    ) -> None:
+        """Log, once per step, that a step defers its request for advice.
+
+        The steps before it need all of the expected free capacity.  Both amounts are in thousandths
+        of a processor.
+        """
         advice = self.advice_on(step)
-        if not advice.is_put_off:
-            advice.is_put_off = True
-            self._notices.append(step_put_off(step.key, ahead_milli, room_milli))
+        if not advice.deferral_logged:
+            advice.deferral_logged = True
+            self._log_events.append(step_deferred(step.key, queued_before_milli, capacity_milli))
+
+    def _may_have_unread_answers(self, now: float) -> bool:
+        """Return whether timeouts are skipped in this pass, because the process has just stalled.
 
-    def _may_be_unread(self, now: float) -> bool:
-        """Return whether no call is judged now: the process stood still, and has just gone on."""
-        pause, self._passed_at = now - self._passed_at, now
-        self._was_late = self.has_shares and pause > STALL_SECONDS and not self._was_late
-        return self._was_late
+        Timeouts are never skipped in two passes in a row.
+        """
+        pause, self._last_pass_at = now - self._last_pass_at, now
+        self._skipped_timeouts = (
+            self.has_shares and pause > STALL_THRESHOLD_SECONDS and not self._skipped_timeouts
+        )
+        return self._skipped_timeouts
 
-    def _take_answer(self, call: AdviceCall, result: AdviceResult, now: float) -> StepKey | None:
+    def _apply_answer(self, call: AdviceCall, result: AdviceResult, now: float) -> StepKey | None:
         advice = self._steps.get(call.step)
         if advice is None:
             return None
         advice.open_calls.discard(call.number)
-        self._shares.setdefault(call.queue, GoodShare()).note(call, result)
-        note_answer(advice, call, result, now)
+        self._approval_rates.setdefault(call.queue, ApprovalRate()).add_answer(call, result)
+        record_answer(advice, call, result, now)
         return call.step
 
     def _handle_late_result(self, call_id: int, result: AdviceResult, now: float) -> StepKey | None:
-        """Take the answer to a call that was given up: its tickets are as good as any."""
-        call = self._given_up.pop(call_id, None)
+        """Record the late answer to an abandoned call; its tickets are still valid."""
+        call = self._abandoned.pop(call_id, None)
         if call is None or result.outcome is not AdviceOutcome.ANSWERED:
             return None
         if self.has_shares:
-            self._entries.note_pace(call, now)
-            self._note_trust(call, now)
-            if self._line.take(call.number) is not None:
-                # It still waited to be made again, which is not needed any more.
-                return self._take_answer(call, result, now)
+            self._entries.record_slowness(call, now)
+            self._note_recovery(call, now)
+            if self._queue.remove(call.number) is not None:
+                # The late answer makes the queued repetition of the call unnecessary.
+                return self._apply_answer(call, result, now)
         advice = self._steps.get(call.step)
         if advice is None:
             return None
-        note_answer(advice, call, result, now)
+        record_answer(advice, call, result, now)
         return call.step
 
-    def _drop_unwanted(self, now: float) -> None:
-        for call in self._line.take_unwanted(now):
+    def _drop_unneeded(self, now: float) -> None:
+        for call in self._queue.remove_unneeded(now):
             advice = self._steps.get(call.step)
             if advice is not None:
                 advice.open_calls.discard(call.number)
 
-    def _end(self, call: AdviceCall, now: float) -> None:
-        del self._under_way[call.call_id]
-        self._entries.end(call, now)
+    def _finish_call(self, call: AdviceCall, now: float) -> None:
+        del self._in_flight[call.call_id]
+        self._entries.finish_call(call, now)
 
-    def _forget_given_up(self, now: float) -> None:
+    def _forget_abandoned(self, now: float) -> None:
         horizon = now - LATE_ANSWER_SECONDS
-        for call_id in [key for key, call in self._given_up.items() if call.overdue_at < horizon]:
-            del self._given_up[call_id]
-
-    def _give_up(self, call: AdviceCall, now: float, reason: str) -> None:
-        """A call was not answered; with shares it is made elsewhere, as all out with its entry."""
-        advisor = self._entries.find(call.advisor)
-        is_new = advisor is not None and self._entries.doubt(advisor, now)
-        out = [call]
-        if self.has_shares and advisor is not None:
-            out = list(advisor.out.values())
-        for item in out:
-            self._end(item, now)
-            self._given_up[item.call_id] = item
+        for call_id in [key for key, call in self._abandoned.items() if call.overdue_at < horizon]:
+            del self._abandoned[call_id]
+
+    def _abandon(self, call: AdviceCall, now: float, reason: str) -> None:
+        """Give up a call that failed or timed out, and suspect its entry.
+
+        With fair shares, all calls of that entry are put back into the queue at once.  Without
+        them, the step of this call requests advice again after a delay.
+        """
+        entry = self._entries.find(call.advisor)
+        is_newly_suspected = entry is not None and self._entries.suspect(entry, now)
+        calls = [call]
+        if self.has_shares and entry is not None:
+            calls = list(entry.in_flight.values())
+        for item in calls:
+            self._finish_call(item, now)
+            self._abandoned[item.call_id] = item
             if self.has_shares:
-                self._make_again(item, now)
+                self._requeue(item, now)
             else:
-                self._put_off(item, now)
-        if is_new and advisor is not None:
-            self._notices.append(advisor_doubted(advisor, reason, len(out), now))
+                self._schedule_retry(item, now)
+        if is_newly_suspected and entry is not None:
+            self._log_events.append(entry_suspected(entry, reason, len(calls), now))
 
-    def _put_off(self, call: AdviceCall, now: float) -> None:
+    def _schedule_retry(self, call: AdviceCall, now: float) -> None:
         advice = self._steps.get(call.step)
         if advice is not None:
             advice.open_calls.discard(call.number)
-            advice.retry_at = now + RETRY_SECONDS
-            self._retries[call.step] = advice.retry_at
+            advice.retry_at = now + RETRY_DELAY_SECONDS
+            self._retry_times[call.step] = advice.retry_at
+
+    def _requeue(self, call: AdviceCall, now: float) -> None:
+        """Put a call back at its place in the queue, under a new id.
 
-    def _make_again(self, call: AdviceCall, now: float) -> None:
-        """Have a call wait at its old place, under a new id; the answer to either will do."""
+        The answer to the first attempt is used too, if it arrives.
+        """
         advice = self._steps.get(call.step)
         if advice is None or call.number not in advice.open_calls:
             return
         self._last_call_id += 1
-        again = replace(call, call_id=self._last_call_id, tries=call.tries + 1, advisor="")
-        self._line.add(again, now)
+        requeued_call = replace(
+            call, call_id=self._last_call_id, previous_tries=call.previous_tries + 1, advisor=""
+        )
+        self._queue.add(requeued_call, now)
         self.has_moved_calls = True
 
-    def _note_trust(self, call: AdviceCall, now: float) -> None:
-        advisor = self._entries.find(call.advisor)
-        if not self.has_shares or advisor is None or not advisor.doubts:
+    def _note_recovery(self, call: AdviceCall, now: float) -> None:
+        entry = self._entries.find(call.advisor)
+        if not self.has_shares or entry is None or not entry.suspect_count:
             return
-        doubts = self._entries.trust(advisor, now)
-        self._notices.append(advisor_regained(advisor, doubts, now))
+        suspect_count = self._entries.clear_suspicion(entry, now)
+        self._log_events.append(entry_recovered(entry, suspect_count, now))
--- a/src/onyxspoke/core/placement/advice_entries.py
+++ b/src/onyxspoke/core/placement/advice_entries.py
@@ -1,8 +1,8 @@
-"""The entries that carry calls for advice: which of them answer, and which takes a call.
+"""Tracks the entries that carry calls to the advice service, and chooses an entry for each call.
 
-The service works for each entry on one call at a time, so every entry has a line of its own, of
-two calls at most.  An entry that does not answer in time is doubted: it gets nothing for a while,
-twice as long each time, and then one call as a trial.
+The service handles one call per entry at a time, so each entry has at most two calls in flight: one
+that is handled and one that waits.  An entry that does not answer in time is suspected.  It gets no
+calls for a backoff that doubles each time, and then a single call as a probe.
 """
 
 from __future__ import annotations
@@ -13,264 +13,301 @@
 
 from onyxspoke.core.placement.advice_line import AdviceCall
 from onyxspoke.core.placement.advice_places import (
-    SHORT_CALL_SECONDS,
+    MAXIMUM_SHORT_CALL_SECONDS,
     AdvicePlaces,
     CallLength,
-    length_of,
+    call_length,
 )
 from onyxspoke.core.shard.log_records import ShardId
 
-#: Calls that may be under way through one entry.
-MAXIMUM_CALLS_EACH = 2
-#: A call is asked elsewhere when it takes so much longer than it should, and so many seconds more;
-#: its answer is of use all the same should it come yet.
+#: Maximum number of calls in flight through one entry.
+MAXIMUM_CALLS_PER_ENTRY = 2
+#: A call is overdue after this multiple of its expected duration, plus a margin in seconds.  It is
+#: then made through another entry, but a late answer is still used.
 OVERDUE_FACTOR = 1.5
-OVERDUE_SECONDS = 0.3
-#: Such seconds at least, where answers were seen to come more promptly.
-PROMPT_OVERDUE_SECONDS = 0.08
-#: Lateness that is still usual, as a multiple of the mean deviation from the mean.
-USUAL_DEVIATIONS = 4.0
-#: Of the lateness that was seen, so much is kept at each answer.
-LATENESS_KEPT = 0.9
-#: An entry through which a call was not answered is not used for so long at first, and at most.
-DOUBT_SECONDS = 1.0
-LONGEST_DOUBT_SECONDS = 4.0
-#: From so many doubts in a row on the pause grows no more; an outage may bring thousands.
+OVERDUE_MARGIN_SECONDS = 0.3
+#: Lower limit, in seconds, of a margin that is derived from the lateness of earlier answers;
+#: ``OVERDUE_MARGIN_SECONDS`` is the upper limit.
+MINIMUM_OVERDUE_MARGIN_SECONDS = 0.08
+#: Such a margin is the average lateness plus this multiple of the mean deviation.
+TOLERATED_DEVIATIONS = 4.0
+#: Weight of the previous average when an answer updates the average lateness.
+LATENESS_HISTORY_WEIGHT = 0.9
+#: First and longest backoff, in seconds, of an entry that did not answer a call.
+SUSPECT_SECONDS = 1.0
+MAXIMUM_SUSPECT_SECONDS = 4.0
+#: Limit on the exponent of the backoff, which would overflow after a long outage.
 MAXIMUM_DOUBLINGS = 8
-#: Where no entry answers, each is tried again after so long, in seconds.
-LAST_RESORT_SECONDS = 0.1
-#: An entry that takes so many times as long as it should counts as slow; more is not believed.
-SLOW_FACTOR = 1.5
-SLOWEST_FACTOR = 4.0
-#: One late answer of a shorter call than this, in seconds, does not make an entry slow.
-TELLING_SECONDS = 0.1
-#: What the service as a whole is believed to be slower than it should, at most.
-SLOWEST_SERVICE = 2.0
-#: The patience with a call is doubled from its third try on.
-TRIES_ALIKE = 2
+#: Backoff, in seconds, while all entries are suspected.
+ALL_SUSPECTED_RETRY_SECONDS = 0.1
+#: An entry counts as slow above this multiple of the expected duration, and its measured slowness
+#: is capped at the second value, so that one very late answer does not dominate.
+SLOW_ENTRY_FACTOR = 1.5
+MAXIMUM_ENTRY_SLOWNESS = 4.0
+#: Calls shorter than this, in seconds, are treated as this long when slowness is measured, so that
+#: one late answer to a short call does not make its entry slow.
+MINIMUM_SLOWNESS_SAMPLE_SECONDS = 0.1
+#: Upper limit on the slowness of the service as a whole, as a multiple of the expected duration.
+MAXIMUM_SERVICE_SLOWNESS = 2.0
+#: Number of tries of a call with the normal timeout; later tries get twice the timeout.
+TRIES_BEFORE_LONGER_TIMEOUT = 2
 
 
 @dataclass(slots=True)
-class Advisor:
-    """An entry that carries calls; ``position`` is its place among those that answer."""
+class AdviceEntry:
+    """An entry that carries calls to the advice service.
+
+    Attributes
+    ----------
+    name : str
+        Name of the entry.
+    tie_break : int
+        Order among equally suitable entries; the lowest is chosen.
+    position : int
+        Index among the usable entries.
+    free_at : float
+        When the entry is expected to have finished its calls.
+    in_flight : dict of int to AdviceCall
+        Calls that the entry carries, by call id.
+    suspected_until : float
+        When the backoff of a suspected entry ends.
+    suspected_at : float
+        When the entry was last suspected.
+    suspect_count : int
+        Number of times that the entry was suspected since its last answer.
+    slowness : float
+        Average duration of the entry's calls, as a multiple of their expected duration.
+    """
 
     name: str
-    preference: int
+    tie_break: int
     position: int
     free_at: float = 0.0
-    out: dict[int, AdviceCall] = field(default_factory=dict)
-    doubted_until: float = 0.0
-    doubted_at: float = -math.inf
-    #: Times in a row that it was doubted.
-    doubts: int = 0
-    #: How long its answers take, as a multiple of what they should.
+    in_flight: dict[int, AdviceCall] = field(default_factory=dict)
+    suspected_until: float = 0.0
+    suspected_at: float = -math.inf
+    suspect_count: int = 0
     slowness: float = 1.0
 
-    def carries_others(self) -> bool:
-        """Return whether it carries a call of a step that is not owed."""
-        return any(not call.rank.is_owed for call in self.out.values())
+    def carries_unentitled_call(self) -> bool:
+        """Return whether the entry carries a call of a step that is not entitled."""
+        return any(not call.rank.is_owed for call in self.in_flight.values())
 
 
-class AdviceEntries:
-    """Keeps the entries, and chooses which one takes a call.
+class AdviceEntryPool:
+    """Tracks the state of all entries, and chooses an entry for each call.
 
     Parameters
     ----------
     shard : int
-        Whose holder asks; holders of other shards use the same entries.
+        The shard whose holder makes the calls; holders of other shards use the same entries.
     has_shares : bool
-        Whether steps that are not owed get only what owed ones leave, and entries that do not
-        answer are left out of the count.
+        Whether tenants share the entries fairly.  If so, steps that are not entitled use only the
+        entries that entitled steps leave free, and suspected entries carry no calls.
     """
 
     def __init__(self, shard: ShardId, has_shares: bool) -> None:
         self._shard = shard
         self._has_shares = has_shares
-        self._all: dict[str, Advisor] = {}
-        #: Those that carry calls now, in their order.
-        self.usable: list[Advisor] = []
-        self.places = AdvicePlaces()
-        #: How long the latest answer took, as a share of what the policy says.
-        self._slowness = 1.0
-        #: How late answers come, in seconds, and by how much that differs.
-        self._lateness = OVERDUE_SECONDS / USUAL_DEVIATIONS
-        self._deviation = OVERDUE_SECONDS / USUAL_DEVIATIONS
-        #: The longest calls of each length that found no entry in this pass.
-        self._refused: dict[tuple[CallLength, bool], float] = {}
-
-    def set_names(self, names: list[str]) -> None:
-        """Take the entries through which calls can go, the holder first."""
-        former = self._all
-        self._all = {}
+        self._by_name: dict[str, AdviceEntry] = {}
+        #: The entries that may carry calls in this pass, in order of position.
+        self.usable: list[AdviceEntry] = []
+        self.partition = AdvicePlaces()
+        #: Duration of the latest answered call, as a multiple of its expected duration.
+        self._service_slowness = 1.0
+        #: Average lateness of answers, and the mean deviation from that average, in seconds.
+        self._lateness = OVERDUE_MARGIN_SECONDS / TOLERATED_DEVIATIONS
+        self._deviation = OVERDUE_MARGIN_SECONDS / TOLERATED_DEVIATIONS
+        #: Seconds of the longest call, by length and entitlement, that found no entry in this pass.
+        self._longest_rejected: dict[tuple[CallLength, bool], float] = {}
+
+    def set_entries(self, names: list[str]) -> None:
+        """Replace the entries, given the holder first; known entries keep their state."""
+        previous = self._by_name
+        self._by_name = {}
         for position, name in enumerate(names):
-            advisor = former.get(name) or Advisor(name, 0, position)
-            advisor.position = position
-            advisor.preference = self._preference(name, position)
-            self._all[name] = advisor
-        self.usable = list(self._all.values())
+            entry = previous.get(name) or AdviceEntry(name, 0, position)
+            entry.position = position
+            entry.tie_break = self._tie_break(name, position)
+            self._by_name[name] = entry
+        self.usable = list(self._by_name.values())
 
-    def find(self, name: str) -> Advisor | None:
-        """Return an entry, if calls can go through it."""
-        return self._all.get(name)
+    def find(self, name: str) -> AdviceEntry | None:
+        """Return the entry with a name, or ``None`` if no entry has that name."""
+        return self._by_name.get(name)
 
     def begin_pass(self, now: float) -> None:
-        """Look which entries carry calls now."""
-        self._refused.clear()
-        everyone = list(self._all.values())
+        """Determine which entries may carry calls in this pass."""
+        self._longest_rejected.clear()
+        all_entries = list(self._by_name.values())
         if not self._has_shares:
-            self.usable = everyone
+            self.usable = all_entries
             return
-        answering = [advisor for advisor in everyone if now >= advisor.doubted_until]
-        self.usable = answering or [
-            advisor for advisor in everyone if now >= advisor.doubted_at + LAST_RESORT_SECONDS
+        responsive = [entry for entry in all_entries if now >= entry.suspected_until]
+        self.usable = responsive or [
+            entry
+            for entry in all_entries
+            if now >= entry.suspected_at + ALL_SUSPECTED_RETRY_SECONDS
         ]
-        for position, advisor in enumerate(self.usable):
-            advisor.position = position
+        for position, entry in enumerate(self.usable):
+            entry.position = position
 
-    def choose(self, call: AdviceCall, now: float) -> Advisor | None:
-        """Return the entry that takes a call now, if there is one."""
+    def choose_entry(self, call: AdviceCall, now: float) -> AdviceEntry | None:
+        """Return the entry that takes a call now, or ``None`` if the call has to wait."""
         if not self._has_shares:
-            return self._choose_soonest(call, now)
-        kind = (length_of(call.seconds), call.rank.is_owed)
-        if call.seconds <= self._refused.get(kind, -1.0):
+            return self._choose_earliest_free(call, now)
+        call_class = (call_length(call.seconds), call.rank.is_owed)
+        if call.seconds <= self._longest_rejected.get(call_class, -1.0):
             return None
         chosen = (
-            self._choose_soonest(call, now) if call.rank.is_owed else self._choose_idle(call, now)
+            self._choose_earliest_free(call, now)
+            if call.rank.is_owed
+            else self._choose_idle(call, now)
         )
         if chosen is None:
-            self._refused[kind] = call.seconds
+            self._longest_rejected[call_class] = call.seconds
         return chosen
 
-    def begin(self, call: AdviceCall, advisor: Advisor, now: float) -> None:
-        """A call goes out through an entry."""
-        call.advisor = advisor.name
-        call.begun_at = max(advisor.free_at, now)
-        advisor.free_at = call.begun_at + self._seconds_at(call, advisor)
-        advisor.out[call.call_id] = call
-        call.overdue_at = self._overdue_at(call, advisor)
-
-    def end(self, call: AdviceCall, now: float) -> None:
-        """A call is out no more, whatever became of it."""
-        advisor = self._all.get(call.advisor)
-        if advisor is None or advisor.out.pop(call.call_id, None) is None:
+    def start_call(self, call: AdviceCall, entry: AdviceEntry, now: float) -> None:
+        """Record that an entry now carries a call."""
+        call.advisor = entry.name
+        call.started_at = max(entry.free_at, now)
+        entry.free_at = call.started_at + self._expected_seconds(call, entry)
+        entry.in_flight[call.call_id] = call
+        call.overdue_at = self._overdue_at(call, entry)
+
+    def finish_call(self, call: AdviceCall, now: float) -> None:
+        """Record that a call has ended, whether answered or not."""
+        entry = self._by_name.get(call.advisor)
+        if entry is None or entry.in_flight.pop(call.call_id, None) is None:
             return
-        if not advisor.out:
-            advisor.free_at = now
+        if not entry.in_flight:
+            entry.free_at = now
         elif self._has_shares:
-            self._begin_next(advisor, now)
-
-    def note_answer(self, call: AdviceCall, now: float) -> None:
-        """A call was answered: learn how long that takes."""
-        took = max(0.0, now - call.begun_at)
-        self._slowness = took / max(call.seconds, SHORT_CALL_SECONDS)
-        self.note_pace(call, now)
-        late = max(0.0, took - call.seconds)
-        self._deviation += (1.0 - LATENESS_KEPT) * (abs(late - self._lateness) - self._deviation)
-        self._lateness += (1.0 - LATENESS_KEPT) * (late - self._lateness)
-
-    def note_pace(self, call: AdviceCall, now: float) -> None:
-        """A call was answered, in time or not: learn how slow its entry is."""
-        advisor = self._all.get(call.advisor)
-        if advisor is not None:
-            ratio = (now - call.begun_at) / max(call.seconds, TELLING_SECONDS)
-            advisor.slowness += 0.5 * (min(max(ratio, 1.0), SLOWEST_FACTOR) - advisor.slowness)
-
-    def doubt(self, advisor: Advisor, now: float) -> bool:
-        """A call was not answered in time; return whether the entry was not doubted before."""
+            self._restart_next_call(entry, now)
+
+    def record_answer(self, call: AdviceCall, now: float) -> None:
+        """Update the slowness and the lateness of the service from an answered call."""
+        elapsed = max(0.0, now - call.started_at)
+        self._service_slowness = elapsed / max(call.seconds, MAXIMUM_SHORT_CALL_SECONDS)
+        self.record_slowness(call, now)
+        lateness = max(0.0, elapsed - call.seconds)
+        self._deviation += (1.0 - LATENESS_HISTORY_WEIGHT) * (
+            abs(lateness - self._lateness) - self._deviation
+        )
+        self._lateness += (1.0 - LATENESS_HISTORY_WEIGHT) * (lateness - self._lateness)
+
+    def record_slowness(self, call: AdviceCall, now: float) -> None:
+        """Update the slowness of an entry from an answered call, even if the answer was late."""
+        entry = self._by_name.get(call.advisor)
+        if entry is not None:
+            ratio = (now - call.started_at) / max(call.seconds, MINIMUM_SLOWNESS_SAMPLE_SECONDS)
+            entry.slowness += 0.5 * (min(max(ratio, 1.0), MAXIMUM_ENTRY_SLOWNESS) - entry.slowness)
+
+    def suspect(self, entry: AdviceEntry, now: float) -> bool:
+        """Suspect an entry that did not answer a call; return whether a new backoff has begun.
+
+        Without fair shares the result is always false.
+        """
         if not self._has_shares:
-            advisor.doubted_until = now + DOUBT_SECONDS
+            entry.suspected_until = now + SUSPECT_SECONDS
             return False
-        if now < advisor.doubted_until and now < advisor.doubted_at + LAST_RESORT_SECONDS:
+        if now < entry.suspected_until and now < entry.suspected_at + ALL_SUSPECTED_RETRY_SECONDS:
             return False
-        doublings = min(advisor.doubts, MAXIMUM_DOUBLINGS)
-        pause = min(DOUBT_SECONDS * 2.0**doublings, LONGEST_DOUBT_SECONDS)
-        advisor.doubts += 1
-        advisor.doubted_at = now
-        advisor.doubted_until = now + pause
+        doublings = min(entry.suspect_count, MAXIMUM_DOUBLINGS)
+        pause = min(SUSPECT_SECONDS * 2.0**doublings, MAXIMUM_SUSPECT_SECONDS)
+        entry.suspect_count += 1
+        entry.suspected_at = now
+        entry.suspected_until = now + pause
         return True
 
-    def trust(self, advisor: Advisor, now: float) -> int:
-        """An entry has answered; return how often in a row it was doubted."""
-        doubts, advisor.doubts = advisor.doubts, 0
-        advisor.doubted_until = min(advisor.doubted_until, now)
-        return doubts
+    def clear_suspicion(self, entry: AdviceEntry, now: float) -> int:
+        """End the backoff of an entry that has answered; return its previous suspect count."""
+        suspect_count, entry.suspect_count = entry.suspect_count, 0
+        entry.suspected_until = min(entry.suspected_until, now)
+        return suspect_count
+
+    def next_probe_at(self) -> float:
+        """Return when the first backoff of an entry ends; infinity if there are no entries."""
+        return min((entry.suspected_until for entry in self._by_name.values()), default=math.inf)
 
-    def next_trial_at(self) -> float:
-        """Return when the next entry that is doubted may carry a call; infinity if none is."""
-        return min((advisor.doubted_until for advisor in self._all.values()), default=math.inf)
+    def _choose_earliest_free(self, call: AdviceCall, now: float) -> AdviceEntry | None:
+        """Return the entry that is free first.
 
-    def _choose_soonest(self, call: AdviceCall, now: float) -> Advisor | None:
-        """Return the entry that is free first, unless that takes longer than the call."""
-        first, behind = self.places.places_for(call.seconds, len(self.usable), now)
-        best: Advisor | None = None
+        Return ``None`` if the wait for that entry is longer than the call itself.
+        """
+        range_start, range_end = self.partition.entry_range(call.seconds, len(self.usable), now)
+        best: AdviceEntry | None = None
         best_score = (1, math.inf, 0, 0, 0)
-        for advisor in self.usable:
-            if advisor.position < first or not self._may_take(advisor):
+        for entry in self.usable:
+            if entry.position < range_start or not self._has_call_slot(entry):
                 continue
-            is_doubted = int(now < advisor.doubted_until)
-            # A slow entry counts as free by so much later as it takes longer.
-            extra = self._seconds_at(call, advisor) - call.seconds
-            free_at = max(advisor.free_at, now) + extra
-            is_elsewhere = int(advisor.position >= behind)
-            on_trial = int(self._has_shares and advisor.doubts > 0)
-            score = (is_doubted, free_at, on_trial, is_elsewhere, advisor.preference)
+            is_doubted = int(now < entry.suspected_until)
+            # Add the extra time that a slow entry takes, so that faster entries are preferred.
+            extra_seconds = self._expected_seconds(call, entry) - call.seconds
+            free_at = max(entry.free_at, now) + extra_seconds
+            is_outside_range = int(entry.position >= range_end)
+            is_probed = int(self._has_shares and entry.suspect_count > 0)
+            score = (is_doubted, free_at, is_probed, is_outside_range, entry.tie_break)
             if score < best_score:
-                best, best_score = advisor, score
+                best, best_score = entry, score
         if best is None or best.free_at - now > call.seconds:
             return None
         return best
 
-    def _choose_idle(self, call: AdviceCall, now: float) -> Advisor | None:
-        """Return an entry for a call that is not owed: an idle one of those that owed ones leave.
+    def _choose_idle(self, call: AdviceCall, now: float) -> AdviceEntry | None:
+        """Return an idle entry for a call of a step that is not entitled.
 
-        It has to be one of those for calls of its length, and so many of these at most carry what
-        is not owed.
+        Only the entries for calls of this length are considered, and only part of them may carry
+        calls of such steps at the same time.
         """
-        first, behind = self.places.places_for(call.seconds, len(self.usable), now)
-        places = self.usable[first:behind]
-        most = self.places.left_over(length_of(call.seconds), len(places), now)
-        if sum(advisor.carries_others() for advisor in places) >= most:
+        range_start, range_end = self.partition.entry_range(call.seconds, len(self.usable), now)
+        own_range = self.usable[range_start:range_end]
+        max_unentitled = self.partition.spare_entries(
+            call_length(call.seconds), len(own_range), now
+        )
+        if sum(entry.carries_unentitled_call() for entry in own_range) >= max_unentitled:
             return None
-        idle = [advisor for advisor in places if not advisor.out]
-        return min(idle, key=_by_trial, default=None)
-
-    def _may_take(self, advisor: Advisor) -> bool:
-        on_trial = self._has_shares and advisor.doubts > 0
-        return len(advisor.out) < (1 if on_trial else MAXIMUM_CALLS_EACH)
-
-    def _begin_next(self, advisor: Advisor, now: float) -> None:
-        """The call that waited behind another begins only now."""
-        advisor.free_at = now
-        for call in advisor.out.values():
-            call.begun_at = advisor.free_at
-            advisor.free_at += self._seconds_at(call, advisor)
-            call.overdue_at = self._overdue_at(call, advisor)
-
-    def _seconds_at(self, call: AdviceCall, advisor: Advisor) -> float:
-        is_slow = self._has_shares and advisor.slowness > SLOW_FACTOR
-        return call.seconds * advisor.slowness if is_slow else call.seconds
-
-    def _overdue_at(self, call: AdviceCall, advisor: Advisor) -> float:
-        expected = call.seconds * max(1.0, self._slowness)
+        idle = [entry for entry in own_range if not entry.in_flight]
+        return min(idle, key=_idle_order, default=None)
+
+    def _has_call_slot(self, entry: AdviceEntry) -> bool:
+        is_probed = self._has_shares and entry.suspect_count > 0
+        return len(entry.in_flight) < (1 if is_probed else MAXIMUM_CALLS_PER_ENTRY)
+
+    def _restart_next_call(self, entry: AdviceEntry, now: float) -> None:
+        """Set the start of the entry's next call to now, because the call before it has ended."""
+        entry.free_at = now
+        for call in entry.in_flight.values():
+            call.started_at = entry.free_at
+            entry.free_at += self._expected_seconds(call, entry)
+            call.overdue_at = self._overdue_at(call, entry)
+
+    def _expected_seconds(self, call: AdviceCall, entry: AdviceEntry) -> float:
+        is_slow = self._has_shares and entry.slowness > SLOW_ENTRY_FACTOR
+        return call.seconds * entry.slowness if is_slow else call.seconds
+
+    def _overdue_at(self, call: AdviceCall, entry: AdviceEntry) -> float:
+        expected = call.seconds * max(1.0, self._service_slowness)
         if not self._has_shares:
-            return call.begun_at + OVERDUE_FACTOR * expected + OVERDUE_SECONDS
-        expected = min(expected, call.seconds * SLOWEST_SERVICE)
-        expected = max(expected, self._seconds_at(call, advisor))
-        usual = self._lateness + USUAL_DEVIATIONS * self._deviation
-        late = min(max(usual, PROMPT_OVERDUE_SECONDS), OVERDUE_SECONDS)
-        # A further try waits longer, so that a service that is slow as a whole gets no more
-        # calls than it answers.
-        patience = 1.0 if call.tries < TRIES_ALIKE else 2.0
-        return call.begun_at + (OVERDUE_FACTOR * expected + late) * patience
-
-    def _preference(self, name: str, position: int) -> int:
-        """Return an advisor's place among those that are equally free; the lowest comes first.
-
-        The holder itself is nearest; the others are in another order for each shard, whose
-        holders do not know of each other's calls.
+            return call.started_at + OVERDUE_FACTOR * expected + OVERDUE_MARGIN_SECONDS
+        expected = min(expected, call.seconds * MAXIMUM_SERVICE_SLOWNESS)
+        expected = max(expected, self._expected_seconds(call, entry))
+        tolerated = self._lateness + TOLERATED_DEVIATIONS * self._deviation
+        lateness = min(max(tolerated, MINIMUM_OVERDUE_MARGIN_SECONDS), OVERDUE_MARGIN_SECONDS)
+        # Later tries wait longer, so that an overloaded service does not receive more calls than
+        # it answers.
+        timeout_factor = 1.0 if call.previous_tries < TRIES_BEFORE_LONGER_TIMEOUT else 2.0
+        return call.started_at + (OVERDUE_FACTOR * expected + lateness) * timeout_factor
+
+    def _tie_break(self, name: str, position: int) -> int:
+        """Return an entry's place among equally suitable entries; the lowest is chosen.
+
+        The holder itself comes first, because it is local.  The other entries have a different
+        order for each shard, because holders of different shards do not see each other's calls.
         """
         return zlib.crc32(f"{self._shard}/{name}".encode()) if position else -1
 
 
-def _by_trial(advisor: Advisor) -> tuple[bool, int]:
-    return advisor.doubts > 0, advisor.preference
+def _idle_order(entry: AdviceEntry) -> tuple[bool, int]:
+    return entry.suspect_count > 0, entry.tie_break
--- a/src/onyxspoke/core/placement/advice_forecast.py
+++ b/src/onyxspoke/core/placement/advice_forecast.py
@@ -1,7 +1,8 @@
-"""How long a call for advice would wait, by what waits and what is under way.
+"""Forecasts how long a new call to the advice service waits for an entry.
 
-Made anew after each pass, so that a look costs little however long the line is.  Calls are taken
-for a fluid: an entry takes on what comes next as soon as it is free.
+The forecast is computed once after each pass, so that a query is cheap for any queue length.  It
+uses a fluid approximation: the queued calls are treated as a total of seconds of work, which the
+entries take on as soon as they are free.
 """
 
 from __future__ import annotations
@@ -10,94 +11,99 @@
 from bisect import bisect_right
 from itertools import accumulate
 
-from onyxspoke.core.placement.advice_entries import AdviceEntries
+from onyxspoke.core.placement.advice_entries import AdviceEntryPool
 from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import CallLength, length_of
+from onyxspoke.core.placement.advice_places import CallLength, call_length
 from onyxspoke.core.placement.queue_order import StepRank
 
-#: Entries that are left for what is not owed, at least, where owed calls would take them all.
-FEWEST_LEFT = 0.25
-#: A call as long as each length, in seconds, to find its entries.
-_TYPICAL_SECONDS = {CallLength.SHORT: 0.0, CallLength.MEDIUM: 0.1, CallLength.LONG: 1.0}
+#: Minimum number of entries that the forecast assumes for steps that are not entitled.
+MINIMUM_SPARE_ENTRIES = 0.25
+#: A sample duration of each call length, in seconds, to look up the entries for that length.
+_SAMPLE_CALL_SECONDS = {CallLength.SHORT: 0.0, CallLength.MEDIUM: 0.1, CallLength.LONG: 1.0}
 
 
-class _LengthForecast:
-    """The line of calls of one length."""
+class _LengthClassForecast:
+    """Forecast for the queued calls of one length."""
 
     __slots__ = (
-        "_ahead",
-        "_capacity",
+        "_entitled_work",
         "_free_at",
-        "_free_sums",
-        "_left",
-        "_next_left_at",
-        "_owed",
+        "_free_at_sums",
+        "_next_spare_at",
         "_ranks",
+        "_spare_entries",
+        "_work_before",
+        "_work_until_free",
     )
 
     def __init__(
-        self, length: CallLength, calls: list[AdviceCall], entries: AdviceEntries, now: float
+        self, length: CallLength, calls: list[AdviceCall], entries: AdviceEntryPool, now: float
     ) -> None:
-        seconds = _TYPICAL_SECONDS[length]
-        first, behind = entries.places.places_for(seconds, len(entries.usable), now)
-        reached = entries.usable[first:]
+        seconds = _SAMPLE_CALL_SECONDS[length]
+        range_start, range_end = entries.partition.entry_range(seconds, len(entries.usable), now)
+        reachable = entries.usable[range_start:]
         self._ranks = [call.rank for call in calls]
-        self._ahead = list(accumulate((call.seconds for call in calls), initial=0.0))
-        self._owed = self._ahead[sum(call.rank.is_owed for call in calls)]
-        self._free_at = sorted(max(now, advisor.free_at) for advisor in reached)
-        self._free_sums = list(accumulate(self._free_at, initial=0.0))
-        #: Work that the entries take on until each of them becomes free, in seconds.
-        self._capacity = [
+        self._work_before = list(accumulate((call.seconds for call in calls), initial=0.0))
+        self._entitled_work = self._work_before[sum(call.rank.is_owed for call in calls)]
+        self._free_at = sorted(max(now, entry.free_at) for entry in reachable)
+        self._free_at_sums = list(accumulate(self._free_at, initial=0.0))
+        #: Seconds of work that the earlier entries can take on before each entry becomes free.
+        self._work_until_free = [
             count * free_at - total
             for count, (free_at, total) in enumerate(
-                zip(self._free_at, self._free_sums, strict=False)
+                zip(self._free_at, self._free_at_sums, strict=False)
             )
         ]
-        own = entries.usable[first:behind]
-        self._left = float(entries.places.left_over(length, len(own), now))
-        taken = sorted(advisor.free_at for advisor in own if advisor.carries_others())
-        is_full = self._left <= len(taken)
-        self._next_left_at = taken[0] if taken and is_full else now
-
-    def begins_at(self, rank: StepRank) -> float:
-        """Return when a call of a rank would begin; infinity while no entry answers."""
+        own_range = entries.usable[range_start:range_end]
+        self._spare_entries = float(entries.partition.spare_entries(length, len(own_range), now))
+        taken_until = sorted(
+            entry.free_at for entry in own_range if entry.carries_unentitled_call()
+        )
+        is_full = self._spare_entries <= len(taken_until)
+        self._next_spare_at = taken_until[0] if taken_until and is_full else now
+
+    def call_starts_at(self, rank: StepRank) -> float:
+        """Return when a new call of a rank would start; infinity if no entry is usable."""
         if not self._free_at:
             return math.inf
-        ahead = self._ahead[bisect_right(self._ranks, rank)]
+        work_before = self._work_before[bisect_right(self._ranks, rank)]
         if rank.is_owed:
-            return self._level(ahead)
-        owed_done_at = self._level(self._owed)
-        left = max(self._left, FEWEST_LEFT)
-        return max(owed_done_at, self._next_left_at) + (ahead - self._owed) / left
+            return self._starts_after(work_before)
+        entitled_done_at = self._starts_after(self._entitled_work)
+        spare_entries = max(self._spare_entries, MINIMUM_SPARE_ENTRIES)
+        return (
+            max(entitled_done_at, self._next_spare_at)
+            + (work_before - self._entitled_work) / spare_entries
+        )
 
-    def _level(self, work: float) -> float:
-        """Return when the entries have taken on so many seconds of work, and one is free."""
-        count = bisect_right(self._capacity, work)
-        return max(self._free_at[0], (work + self._free_sums[count]) / count)
+    def _starts_after(self, work: float) -> float:
+        """Return when the entries have taken on ``work`` seconds of calls and one is free again."""
+        count = bisect_right(self._work_until_free, work)
+        return max(self._free_at[0], (work + self._free_at_sums[count]) / count)
 
 
-class LineForecast:
-    """When calls begin, as it looks after one pass.
+class QueueForecast:
+    """Forecast of the start of new calls, from the state after one pass.
 
     Parameters
     ----------
     calls : list of AdviceCall
-        Those that wait, the one to be made first in front.
+        The queued calls; the call to make first comes first.
     """
 
-    def __init__(self, calls: list[AdviceCall], entries: AdviceEntries, now: float) -> None:
+    def __init__(self, calls: list[AdviceCall], entries: AdviceEntryPool, now: float) -> None:
         by_length: dict[CallLength, list[AdviceCall]] = {length: [] for length in CallLength}
         for call in calls:
-            by_length[length_of(call.seconds)].append(call)
+            by_length[call_length(call.seconds)].append(call)
         self._by_length = {
-            length: _LengthForecast(length, waiting, entries, now)
-            for length, waiting in by_length.items()
+            length: _LengthClassForecast(length, queued_calls, entries, now)
+            for length, queued_calls in by_length.items()
         }
-        self._next_trial_at = entries.next_trial_at()
+        self._next_probe_at = entries.next_probe_at()
 
     def wait_seconds(self, call_seconds: float, rank: StepRank, now: float) -> float:
-        """Return about how long a call of a rank would wait until an entry takes it."""
-        begins_at = self._by_length[length_of(call_seconds)].begins_at(rank)
-        if math.isinf(begins_at):
-            begins_at = self._next_trial_at
-        return max(0.0, begins_at - now) if math.isfinite(begins_at) else 0.0
+        """Return the expected time, in seconds, until an entry takes a new call of a rank."""
+        call_starts_at = self._by_length[call_length(call_seconds)].call_starts_at(rank)
+        if math.isinf(call_starts_at):
+            call_starts_at = self._next_probe_at
+        return max(0.0, call_starts_at - now) if math.isfinite(call_starts_at) else 0.0
--- a/src/onyxspoke/core/placement/advice_line.py
+++ b/src/onyxspoke/core/placement/advice_line.py
@@ -1,4 +1,4 @@
-"""The calls for advice that wait for an entry, in the order in which they are to be made."""
+"""The queue of calls to the advice service that wait for an entry."""
 
 from __future__ import annotations
 
@@ -10,26 +10,33 @@
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, rank_as_of
 
-#: A line is told of while its oldest call has waited for so long, in seconds, and so often.
-LONG_WAIT_SECONDS = 0.5
-TELLING_PAUSE_SECONDS = 1.0
+#: The state of the queue is logged once per report interval, in seconds, while the oldest call has
+#: waited for at least ``REPORT_WAIT_SECONDS``.
+REPORT_WAIT_SECONDS = 0.5
+REPORT_INTERVAL_SECONDS = 1.0
 _DIGITS = 3
 
 
 @dataclass(slots=True)
 class AdviceCall:
-    """One call that is wanted or under way.
+    """One call to the advice service, queued or in flight.
 
     Attributes
     ----------
+    call_id : int
+        Id of this attempt; a call that is made again gets a new id.
+    seconds : float
+        Expected duration of the call.
     number : int
-        Place among the calls of one rank; a call that is made again keeps it, and gets a new id.
-    tries : int
-        How often it was made before.
-    rank_holds_until : float
-        When the lateness of its step changes next.
-    ranked_factor : float
-        Factor of its step's work by which the rank was worked out.
+        Order among the calls of one rank; a call that is made again keeps its number.
+    overdue_at : float
+        When the call times out.
+    previous_tries : int
+        How often the call was made before.
+    rank_valid_until : float
+        When the lateness of the step changes next, so that the rank is out of date.
+    ranked_work_factor : float
+        The learned factor of the job's work estimate that the rank is based on.
     """
 
     call_id: int
@@ -41,38 +48,38 @@
     wanted_at: float
     number: int
     advisor: str = ""
-    begun_at: float = 0.0
+    started_at: float = 0.0
     overdue_at: float = math.inf
-    tries: int = 0
-    rank_holds_until: float = math.inf
-    ranked_factor: float = 1.0
+    previous_tries: int = 0
+    rank_valid_until: float = math.inf
+    ranked_work_factor: float = 1.0
 
     @property
     def step(self) -> StepKey:
-        """The step that it is about."""
+        """The step that the call is about."""
         return self.progress.key
 
     @property
-    def is_wanted(self) -> bool:
-        """Whether an answer would still be of use: tasks of the step wait, and may start."""
+    def is_needed(self) -> bool:
+        """Whether the step still has waiting tasks that its job and its quota allow to start."""
         progress = self.progress
-        is_over = not progress.waiting or progress.job.state.is_final
-        return not is_over and progress.over_quota_since is None
+        is_finished = not progress.waiting or progress.job.state.is_final
+        return not is_finished and progress.over_quota_since is None
 
 
 class AdviceLine:
-    """Calls that wait; the lowest rank goes first, and of equal ones the first that was wanted.
+    """Queued calls by rank; calls of equal rank are made in the order in which they were queued.
 
     Parameters
     ----------
-    is_kept : bool
-        Whether ranks follow the time, and calls that are wanted no longer go.
+    maintains_ranks : bool
+        Whether the rank of a call is updated when the call is queued.
     """
 
-    def __init__(self, is_kept: bool) -> None:
-        self._is_kept = is_kept
+    def __init__(self, maintains_ranks: bool) -> None:
+        self._maintains_ranks = maintains_ranks
         self._calls: dict[int, AdviceCall] = {}
-        self._told_at = -math.inf
+        self._reported_at = -math.inf
 
     def __len__(self) -> int:
         return len(self._calls)
@@ -81,67 +88,70 @@
         return iter(self._calls.values())
 
     def add(self, call: AdviceCall, now: float) -> None:
-        """Have a call wait at its place."""
-        if self._is_kept:
-            _rank_anew(call, now)
+        """Add a call to the queue."""
+        if self._maintains_ranks:
+            _update_rank(call, now)
         self._calls[call.number] = call
 
-    def take(self, number: int) -> AdviceCall | None:
-        """Take out a call, if it waits."""
+    def remove(self, number: int) -> AdviceCall | None:
+        """Remove and return a call, or return ``None`` if the call is not queued."""
         return self._calls.pop(number, None)
 
-    def take_step(self, key: StepKey) -> None:
-        """Take out the calls about a step."""
+    def remove_step(self, key: StepKey) -> None:
+        """Remove all calls about a step."""
         for call in [call for call in self._calls.values() if call.step == key]:
             del self._calls[call.number]
 
-    def take_unwanted(self, now: float) -> list[AdviceCall]:
-        """Bring ranks up to date, and take out the calls whose answers would be of no use.
+    def remove_unneeded(self, now: float) -> list[AdviceCall]:
+        """Update the ranks, and remove and return the calls that are no longer needed.
 
-        A call whose job nobody waits for any more goes, too: its step asks anew when there is
-        something left for such jobs.
+        A call is also removed when its job has expired.  The step requests advice again when there
+        is capacity left for expired jobs.
         """
-        unwanted = [call for call in self._calls.values() if self._is_unwanted(call, now)]
-        for call in unwanted:
+        unneeded = [call for call in self._calls.values() if self._is_unneeded(call, now)]
+        for call in unneeded:
             del self._calls[call.number]
-        return unwanted
+        return unneeded
 
-    def in_order(self) -> list[AdviceCall]:
-        """Return all calls, the one to be made first in front."""
-        return sorted(self._calls.values(), key=_place)
+    def by_rank(self) -> list[AdviceCall]:
+        """Return all calls in the order in which they are to be made."""
+        return sorted(self._calls.values(), key=_queue_order)
 
-    def take_report(self, now: float) -> list[dict[str, str | int | float]]:
-        """Return a line's length by queue where it is long, once in a while."""
+    def report_if_long(self, now: float) -> list[dict[str, str | int | float]]:
+        """Return the fields of a log event per job queue, if calls have waited for long.
+
+        The result is empty if the last report is recent.
+        """
         oldest = min((call.wanted_at for call in self._calls.values()), default=now)
-        if now - oldest < LONG_WAIT_SECONDS or now - self._told_at < TELLING_PAUSE_SECONDS:
+        if now - oldest < REPORT_WAIT_SECONDS or now - self._reported_at < REPORT_INTERVAL_SECONDS:
             return []
-        self._told_at = now
+        self._reported_at = now
         by_queue: dict[str, list[AdviceCall]] = {}
         for call in self._calls.values():
             by_queue.setdefault(call.queue, []).append(call)
-        return [_report(queue, calls, now) for queue, calls in sorted(by_queue.items())]
+        return [_queue_report(queue, calls, now) for queue, calls in sorted(by_queue.items())]
 
-    def _is_unwanted(self, call: AdviceCall, now: float) -> bool:
-        is_alike = call.ranked_factor == call.progress.job.work.factor
-        if is_alike and now < call.rank_holds_until:
-            return not call.is_wanted
+    def _is_unneeded(self, call: AdviceCall, now: float) -> bool:
+        is_factor_unchanged = call.ranked_work_factor == call.progress.job.work.factor
+        if is_factor_unchanged and now < call.rank_valid_until:
+            return not call.is_needed
         was_expired = call.rank.is_expired
-        _rank_anew(call, now)
-        return not call.is_wanted or (call.rank.is_expired and not was_expired)
+        _update_rank(call, now)
+        return not call.is_needed or (call.rank.is_expired and not was_expired)
 
 
-def _rank_anew(call: AdviceCall, now: float) -> None:
-    """Bring a rank up to date: with time, and with what is learned of its step's work."""
+def _update_rank(call: AdviceCall, now: float) -> None:
+    """Update the rank of a call to the current time and the current work estimate of its job."""
     call.rank = rank_as_of(call.rank, call.progress, now)
-    call.rank_holds_until = lateness_changes_at(call.progress, now)
-    call.ranked_factor = call.progress.job.work.factor
+    call.rank_valid_until = lateness_changes_at(call.progress, now)
+    call.ranked_work_factor = call.progress.job.work.factor
 
 
-def _place(call: AdviceCall) -> tuple[StepRank, int]:
+def _queue_order(call: AdviceCall) -> tuple[StepRank, int]:
     return call.rank, call.number
 
 
-def _report(queue: str, calls: list[AdviceCall], now: float) -> dict[str, str | int | float]:
+def _queue_report(queue: str, calls: list[AdviceCall], now: float) -> dict[str, str | int | float]:
     return {
         "queue": queue,
         "waiting": len(calls),
--- a/src/onyxspoke/core/placement/advice_need.py
+++ b/src/onyxspoke/core/placement/advice_need.py
@@ -1,8 +1,9 @@
-"""Whether a step asks for advice now: a ticket is of use only if room comes before it runs out.
+"""Decides whether a step requests advice now, or defers the request until capacity is near.
 
-On a full cell every step that is handed in would else ask at once, and again when its turn comes.
-What a step needs, and what those before it need, is held against the room that there is, and that
-is expected by then; it asks early enough that its advice is there before its room.
+A ticket is useful only if capacity becomes free before the ticket expires.  Without deferral, every
+step that is submitted to a full cell would request advice at once, and again when its turn comes.
+So the needs of the steps before it are compared with the capacity that is free or expected to
+become free.  A step requests advice early enough to have it when the capacity becomes free.
 """
 
 from __future__ import annotations
@@ -18,122 +19,132 @@
 from onyxspoke.core.placement.queue_order import StepRank
 from onyxspoke.core.placement.worker_table import WorkerTable
 
-#: What is expected of room is looked up anew after so long, in seconds.
-LOOK_SECONDS = 0.2
-#: While so much of a service is free, what waits lacks something else than room, and all may ask.
-FREE_SHARE = 0.1
-#: Owed steps ask while those before them need at most so many times the room that is expected:
-#: estimates may be too high, and not every step before them can use it.
-OWED_FACTOR = 1.5
-#: A step that has been ready for so long, in seconds, asks while one of its tasks may fit: what
-#: goes before it may be unable to use the room.
-LONGEST_HELD_SECONDS = 5.0
-#: Of a ticket's validity, the part within which room has to come.
-VALIDITY_SHARE = 0.75
-#: Workers in a call, to tell about how long it takes.
-_TYPICAL_WORKERS = 30
+#: Interval, in seconds, at which the free and the expected capacity are computed again.
+CAPACITY_REFRESH_SECONDS = 0.2
+#: If at least this share of a service's processors is free, capacity is not what its waiting steps
+#: lack, and all of them may request advice.
+UNCONTENDED_SHARE = 0.1
+#: An entitled step requests advice while the steps before it need less than this multiple of the
+#: expected capacity.  Estimates may be too high, and some of those steps cannot use the capacity.
+ENTITLED_CAPACITY_FACTOR = 1.5
+#: A step that has been ready for this many seconds requests advice if one of its tasks may fit,
+#: because the steps before it may be unable to use the free capacity.
+MAXIMUM_DEFERRAL_SECONDS = 5.0
+#: Share of a ticket's validity within which capacity has to become free.
+USABLE_VALIDITY_SHARE = 0.75
+#: Number of workers from which the duration of a call is estimated.
+_TYPICAL_WORKERS_PER_CALL = 30
 _MILLISECONDS = 1_000.0
 
 
 @dataclass(slots=True)
-class _ServiceRoom:
-    """Processors of one service, in thousandths: free, and freed by the ends of its runs."""
-
-    total: int = 0
-    free: int = 0
-    ends: list[tuple[float, int]] = field(default_factory=list)
-    #: What the steps before the present one need, in this pass.
-    ahead: int = 0
-    _moments: list[float] = field(default_factory=list)
-    _freed: list[int] = field(default_factory=list)
-
-    def settle(self) -> None:
-        """Take all ends in."""
-        self.ends.sort()
-        self._moments = [moment for moment, _processors in self.ends]
-        self._freed = list(accumulate((processors for _at, processors in self.ends), initial=0))
-
-    def by(self, moment: float) -> int:
-        """Return how much is free, or expected to be, by a moment."""
-        return self.free + self._freed[bisect_right(self._moments, moment)]
+class _ServiceCapacity:
+    """Processors of one service, in thousandths: free now, and freed when runs end."""
+
+    total_milli: int = 0
+    free_milli: int = 0
+    run_ends: list[tuple[float, int]] = field(default_factory=list)
+    #: Processors that the steps before the current step of the pass need.
+    queued_before_milli: int = 0
+    _end_times: list[float] = field(default_factory=list)
+    _freed_milli: list[int] = field(default_factory=list)
+
+    def index_run_ends(self) -> None:
+        """Sort the run ends, and sum up the processors that the runs free."""
+        self.run_ends.sort()
+        self._end_times = [moment for moment, _processors in self.run_ends]
+        self._freed_milli = list(
+            accumulate((processors for _at, processors in self.run_ends), initial=0)
+        )
+
+    def free_by(self, moment: float) -> int:
+        """Return the processors, in thousandths, that are expected to be free at a time."""
+        return self.free_milli + self._freed_milli[bisect_right(self._end_times, moment)]
 
 
 class AdviceNeed:
-    """Tells for each step of a pass of placement whether it should ask.
+    """Decides for each step of a placement pass whether the step should request advice.
 
     Parameters
     ----------
     stop_seconds : float
-        How long a stop takes at most.
+        Longest time that the stop of a run takes.
     """
 
     def __init__(self, table: WorkerTable, desk: AdviceDesk, stop_seconds: float) -> None:
         self._table = table
         self._desk = desk
         self._stop_seconds = stop_seconds
-        self._services: dict[str, _ServiceRoom] = {}
-        self._looked_at = float("-inf")
+        self._capacities: dict[str, _ServiceCapacity] = {}
+        self._refreshed_at = float("-inf")
 
     def begin_pass(self, now: float) -> None:
-        """Begin with the step that goes first."""
+        """Begin a placement pass; the steps follow in order of rank."""
         if not self._desk.has_shares:
             return
-        if now - self._looked_at >= LOOK_SECONDS:
-            self._looked_at = now
-            self._look(now)
-        for room in self._services.values():
-            room.ahead = 0
+        if now - self._refreshed_at >= CAPACITY_REFRESH_SECONDS:
+            self._refreshed_at = now
+            self._refresh(now)
+        for service_capacity in self._capacities.values():
+            service_capacity.queued_before_milli = 0
 
     def note_waiting(self, step: StepProgress, service: str, tasks: int) -> None:
-        """So many tasks of a step still wait, before all steps that follow in the pass."""
-        room = self._services.get(service)
-        if room is not None:
-            room.ahead += tasks * step.needs.processors_milli
+        """Record that a step still has waiting tasks, ahead of all later steps of the pass."""
+        service_capacity = self._capacities.get(service)
+        if service_capacity is not None:
+            service_capacity.queued_before_milli += tasks * step.needs.processors_milli
 
     def is_of_use(
         self, step: StepProgress, queue: QueuePolicy, rank: StepRank, may_fit: bool, now: float
     ) -> bool:
-        """Return whether a step that knows of no workers yet should ask about some.
+        """Return whether a step without advice should request advice now.
 
         Parameters
         ----------
         may_fit : bool
-            Whether some worker might have room for one of its tasks.
+            Whether some worker may have enough free capacity for one task of the step.
         """
-        room, policy = self._services.get(queue.service), queue.advice
-        if not self._desk.has_shares or room is None or policy is None:
+        service_capacity, policy = self._capacities.get(queue.service), queue.advice
+        if not self._desk.has_shares or service_capacity is None or policy is None:
             return True
-        is_free = room.free >= FREE_SHARE * room.total
-        if may_fit and (is_free or now - step.ready_at >= LONGEST_HELD_SECONDS):
+        is_uncontended = (
+            service_capacity.free_milli >= UNCONTENDED_SHARE * service_capacity.total_milli
+        )
+        if may_fit and (is_uncontended or now - step.ready_at >= MAXIMUM_DEFERRAL_SECONDS):
             return True
-        expected = self._expected_room(room, policy, rank, now)
-        if room.ahead < expected:
+        expected_milli = self._expected_capacity(service_capacity, policy, rank, now)
+        if service_capacity.queued_before_milli < expected_milli:
             return True
-        self._desk.note_put_off(step, room.ahead, expected)
+        self._desk.note_deferred(step, service_capacity.queued_before_milli, expected_milli)
         return False
 
-    def _expected_room(
-        self, room: _ServiceRoom, policy: AdvicePolicy, rank: StepRank, now: float
+    def _expected_capacity(
+        self, service_capacity: _ServiceCapacity, policy: AdvicePolicy, rank: StepRank, now: float
     ) -> int:
-        """Return the room that a step and those before it may count on, while advice is of use."""
-        seconds = policy.call_seconds(_TYPICAL_WORKERS)
+        """Return the processors, in thousandths, expected for a step and the steps before it.
+
+        Only capacity that becomes free while the step's tickets are valid is counted.
+        """
+        seconds = policy.call_seconds(_TYPICAL_WORKERS_PER_CALL)
         answer_at = now + seconds + self._desk.wait_seconds(seconds, rank, now)
         if not rank.is_owed:
-            return room.by(answer_at)
-        used_until = answer_at + VALIDITY_SHARE * policy.validity_ms / _MILLISECONDS
-        return int(OWED_FACTOR * room.by(used_until))
+            return service_capacity.free_by(answer_at)
+        usable_until = answer_at + USABLE_VALIDITY_SHARE * policy.validity_ms / _MILLISECONDS
+        return int(ENTITLED_CAPACITY_FACTOR * service_capacity.free_by(usable_until))
 
-    def _look(self, now: float) -> None:
-        self._services = {}
+    def _refresh(self, now: float) -> None:
+        self._capacities = {}
         for worker in self._table.workers.values():
             if not worker.was_offered:
                 continue
-            room = self._services.setdefault(worker.record.service, _ServiceRoom())
-            room.total += worker.record.capacity.processors_milli
-            room.free += max(0, worker.free_processors)
-            room.ends += [
+            service_capacity = self._capacities.setdefault(
+                worker.record.service, _ServiceCapacity()
+            )
+            service_capacity.total_milli += worker.record.capacity.processors_milli
+            service_capacity.free_milli += max(0, worker.free_processors)
+            service_capacity.run_ends += [
                 (expected_end(run, self._stop_seconds, now), run.needs.processors_milli)
                 for run in worker.runs.values()
             ]
-        for room in self._services.values():
-            room.settle()
+        for service_capacity in self._capacities.values():
+            service_capacity.index_run_ends()
--- a/src/onyxspoke/core/placement/advice_notices.py
+++ b/src/onyxspoke/core/placement/advice_notices.py
@@ -1,52 +1,54 @@
-"""What is told of the line for advice in the log."""
+"""Log events about the advice queue and its entries."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from onyxspoke.core.jobs.model import StepKey
-from onyxspoke.core.placement.advice_entries import Advisor
+from onyxspoke.core.placement.advice_entries import AdviceEntry
 
 _DIGITS = 3
 
 
 @dataclass(slots=True)
-class AdviceNotice:
-    """One line."""
+class AdviceLogEvent:
+    """The name and the fields of one log event."""
 
     event: str
     fields: dict[str, str | int | float]
 
 
-def advisor_doubted(advisor: Advisor, reason: str, moved: int, now: float) -> AdviceNotice:
-    """Tell that an entry gets no calls for a while, and that so many were moved."""
+def entry_suspected(
+    entry: AdviceEntry, reason: str, requeued_count: int, now: float
+) -> AdviceLogEvent:
+    """Return the event that an entry is suspected, and how many of its calls were requeued."""
     fields: dict[str, str | int | float] = {
-        "advisor": advisor.name,
+        "advisor": entry.name,
         "reason": reason,
-        "doubts": advisor.doubts,
-        "pause_s": round(advisor.doubted_until - now, _DIGITS),
-        "moved": moved,
-        "slowness": round(advisor.slowness, _DIGITS),
+        "doubts": entry.suspect_count,
+        "pause_s": round(entry.suspected_until - now, _DIGITS),
+        "moved": requeued_count,
+        "slowness": round(entry.slowness, _DIGITS),
     }
-    return AdviceNotice("advisor_doubted", fields)
+    return AdviceLogEvent("advisor_doubted", fields)
 
 
-def advisor_regained(advisor: Advisor, doubts: int, now: float) -> AdviceNotice:
-    """Tell that an entry answers again, which was doubted so often in a row."""
+def entry_recovered(entry: AdviceEntry, suspect_count: int, now: float) -> AdviceLogEvent:
+    """Return the event that a suspected entry answers again."""
     fields: dict[str, str | int | float] = {
-        "advisor": advisor.name,
-        "doubts": doubts,
-        "after_s": round(now - advisor.doubted_at, _DIGITS),
-        "slowness": round(advisor.slowness, _DIGITS),
+        "advisor": entry.name,
+        "doubts": suspect_count,
+        "after_s": round(now - entry.suspected_at, _DIGITS),
+        "slowness": round(entry.slowness, _DIGITS),
     }
-    return AdviceNotice("advisor_regained", fields)
+    return AdviceLogEvent("advisor_regained", fields)
 
 
-def step_put_off(step: StepKey, ahead_milli: int, room_milli: int) -> AdviceNotice:
-    """Tell that a step does not ask yet, because what goes before it takes the room."""
+def step_deferred(step: StepKey, queued_before_milli: int, capacity_milli: int) -> AdviceLogEvent:
+    """Return the event that a step defers its request, because earlier steps need the capacity."""
     fields: dict[str, str | int | float] = {
         "step": step.name,
-        "ahead_cpu": ahead_milli,
-        "room_cpu": room_milli,
+        "ahead_cpu": queued_before_milli,
+        "room_cpu": capacity_milli,
     }
-    return AdviceNotice("advice_put_off", fields)
+    return AdviceLogEvent("advice_put_off", fields)
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -1,12 +1,13 @@
-"""Tasks that may have crashed workers begin apart from other jobs.
-
-Where only tasks of one job begin on a worker, a crash proves it: so a job that crashes workers is
-found out with its second or third one, and those that began beside it once are not counted with it
-again.  Suspects of one step begin together: which of them is to blame makes no difference to their
-job, and 25 of them that each began on a worker of its own would take 25 workers down at once.
-After a crash that can only be the job's, the step is on trial: all that waits of it begins on one
-worker at a time, until some of it has lived through its beginning.  Only the beginning is kept
-apart: for a whole run it would take a worker from all others.
+"""Starts tasks that may have crashed workers in isolation from other jobs.
+
+If only tasks of one job start on a worker, a crash of the worker identifies the job.  So a job
+that crashes workers is identified at its second or third crash, and jobs that happened to start on
+the same worker are not suspected again.  Suspect tasks of one step start together on one worker:
+the crash of several workers at once would cost more and would not identify the job any better.
+
+After a crash that only one job can have caused, the crashing step is on trial: its waiting tasks
+start on one worker at a time, until one of them has survived its start.  Only the start is
+isolated, because isolation of whole runs would keep the worker from other jobs for too long.
 """
 
 from __future__ import annotations
@@ -19,89 +20,102 @@
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.workers import Worker
 
-#: How long the news of a crash takes at most, as a rule, in seconds: connections are reset within
-#: 30 ms, and a look that goes unanswered is given up after 0.2 s.
-NEWS_SECONDS = 0.25
-#: A worker that has been up for so long, in seconds, does not go down and up by turns.  One that
-#: does is the emptiest again and again, and would bring every suspect its second crash.
-SETTLED_SECONDS = 10.0
-#: For how long a beginning is kept apart.
-TRIAL_SECONDS = JUST_BEGUN_SECONDS + NEWS_SECONDS
+#: Usual upper limit, in seconds, of the time to detect a crash.  Connections are reset within
+#: 30 ms, and a poll of a worker times out after 0.2 s.
+CRASH_REPORT_SECONDS = 0.25
+#: A worker that has been up for this many seconds is not in a crash loop.  A worker in a crash loop
+#: often has the fewest runs, and every suspect task placed there would seem to crash it.
+STABLE_UPTIME_SECONDS = 10.0
+#: How long, in seconds, the start of a suspect task is isolated.
+ISOLATION_SECONDS = JUST_BEGUN_SECONDS + CRASH_REPORT_SECONDS
 
 
-class Place(Protocol):
-    """A worker that may run a task."""
+class HasWorker(Protocol):
+    """An object with a worker on which a task can be placed."""
 
     @property
     def worker(self) -> Worker:
-        """The worker."""
+        """The worker on which a task can be placed."""
 
 
-AnyPlace = TypeVar("AnyPlace", bound=Place)
+AnyHasWorker = TypeVar("AnyHasWorker", bound=HasWorker)
 
 
 def keep_free_for(run: Run, now: float) -> None:
-    """Have nothing else begin on a run's worker until it would be known that the run crashed it."""
+    """Let no other run start on the worker of a suspect run until a crash would be detected."""
     step = run.task.step
     if run.task.crashes.is_suspicious or is_on_trial(step):
-        step.begins_apart_until = run.worker.kept_free_until = now + TRIAL_SECONDS
+        step.begins_apart_until = run.worker.kept_free_until = now + ISOLATION_SECONDS
 
 
 def is_on_trial(step: StepProgress) -> bool:
-    """Return whether a step crashed a worker, and nothing of it has begun well since."""
+    """Return whether a step crashed a worker, and no task of it has survived its start since."""
     if not step.crashed_at or step.done_count > step.done_before_crash:
         return False
-    return not any(_has_begun_well(task, step.crashed_at) for task in step.tasks)
+    return not any(_has_survived_start(task, step.crashed_at) for task in step.tasks)
 
 
-def _has_begun_well(task: TaskProgress, crashed_at: float) -> bool:
+def _has_survived_start(task: TaskProgress, crashed_at: float) -> bool:
     run = task.run
     if run is None or not run.confirmed_at or run.ordered_at <= crashed_at:
         return False
     return run.worker.heard_at > run.ordered_at + JUST_BEGUN_SECONDS
 
 
-def begins_apart(task: TaskProgress, step_is_on_trial: bool) -> bool:
-    """Return whether a task is to begin apart from other jobs."""
+def needs_isolation(task: TaskProgress, step_is_on_trial: bool) -> bool:
+    """Return whether a task must start in isolation from other jobs."""
     return step_is_on_trial or task.crashes.is_suspicious
 
 
-def place_apart(
+def place_isolated(
     step: StepProgress,
     suspects: list[TaskProgress],
-    places: list[AnyPlace],
+    candidates: list[AnyHasWorker],
     counts: dict[str, int],
-    room: ScratchRoom,
+    free_capacity: ScratchRoom,
     now: float,
-) -> list[tuple[AnyPlace, TaskProgress]]:
-    """Return where suspects of a step begin: together, where they disturb others least."""
-    chosen: list[tuple[AnyPlace, TaskProgress]] = []
+) -> list[tuple[AnyHasWorker, TaskProgress]]:
+    """Return the placements of a step's suspect tasks, on as few workers as possible.
+
+    Workers where isolation affects other jobs least are used first.
+    """
+    chosen: list[tuple[AnyHasWorker, TaskProgress]] = []
     waiting = list(suspects)
-    one_at_a_time = is_on_trial(step)
-    if one_at_a_time and now < step.begins_apart_until:
+    one_worker_at_a_time = is_on_trial(step)
+    if one_worker_at_a_time and now < step.begins_apart_until:
         return chosen
-    for place in sorted(places, key=lambda place: _disturbance(place.worker, room, now)):
+    for candidate in sorted(
+        candidates, key=lambda candidate: _isolation_cost(candidate.worker, free_capacity, now)
+    ):
         if not waiting:
             break
-        count = _slots_apart(place.worker, step, counts, room)
+        count = _isolated_slots(candidate.worker, step, counts, free_capacity)
         if count > 0:
-            room.take_all(place.worker)
-            chosen += [(place, task) for task in waiting[:count]]
-            waiting = [] if one_at_a_time else waiting[count:]
+            free_capacity.take_all(candidate.worker)
+            chosen += [(candidate, task) for task in waiting[:count]]
+            waiting = [] if one_worker_at_a_time else waiting[count:]
     return chosen
 
 
-def _slots_apart(
-    worker: Worker, step: StepProgress, counts: dict[str, int], room: ScratchRoom
+def _isolated_slots(
+    worker: Worker, step: StepProgress, counts: dict[str, int], free_capacity: ScratchRoom
 ) -> int:
-    slots = room.slots(worker, step.needs)
+    slots = free_capacity.slots(worker, step.needs)
     limit = step.spec.spread_limit
     return min(slots, limit - counts.get(worker.worker_id, 0)) if limit else slots
 
 
-def _disturbance(worker: Worker, room: ScratchRoom, now: float) -> tuple[bool, bool, int]:
-    """Return how ill a worker suits: it may crash by itself, others have just begun, others run."""
-    latest = max((run.ordered_at for run in worker.runs.values()), default=0.0)
-    has_new = room.has_taken_of(worker) or now - latest < JUST_BEGUN_SECONDS
-    is_young = now - worker.first_heard_at < SETTLED_SECONDS
-    return is_young, has_new, len(worker.runs)
+def _isolation_cost(
+    worker: Worker, free_capacity: ScratchRoom, now: float
+) -> tuple[bool, bool, int]:
+    """Return the cost of isolating tasks on a worker; the lowest is best.
+
+    The worst workers are those that started recently and may be in a crash loop, then those with
+    recent starts of other runs, then those with many runs.
+    """
+    latest_order_at = max((run.ordered_at for run in worker.runs.values()), default=0.0)
+    has_recent_starts = (
+        free_capacity.has_taken_of(worker) or now - latest_order_at < JUST_BEGUN_SECONDS
+    )
+    is_recently_started = now - worker.first_heard_at < STABLE_UPTIME_SECONDS
+    return is_recently_started, has_recent_starts, len(worker.runs)
--- a/src/onyxspoke/core/placement/offer.py
+++ b/src/onyxspoke/core/placement/offer.py
@@ -1,4 +1,4 @@
-"""The workers of one service to which runs may go, as one pass of placement sees them."""
+"""The schedulable workers of one service, as seen by one placement pass."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 
 
 class Offer:
-    """The workers of one service to which runs may go."""
+    """The workers of one service that accept new runs."""
 
     def __init__(self, workers: list[Worker]) -> None:
         self.workers = {worker.worker_id: worker for worker in workers}
-        self._most_processors = max((worker.free_processors for worker in workers), default=-1)
-        self._most_memory = max((worker.free_memory for worker in workers), default=-1)
-        #: Of all its workers together.
+        self._max_free_processors = max((worker.free_processors for worker in workers), default=-1)
+        self._max_free_memory = max((worker.free_memory for worker in workers), default=-1)
+        #: Total processors of these workers, in thousandths.
         self.processors_milli = sum(worker.record.capacity.processors_milli for worker in workers)
 
     def may_fit(self, needs: Needs) -> bool:
-        """Return whether some worker might have room; a quick look, before any plan."""
+        """Return whether a worker may have enough free capacity for one task.
+
+        This check is cheap and not exact: processors and memory may be free on different workers.
+        """
         return (
-            needs.processors_milli <= self._most_processors and needs.memory_mb <= self._most_memory
+            needs.processors_milli <= self._max_free_processors
+            and needs.memory_mb <= self._max_free_memory
         )
 
 
--- a/src/onyxspoke/core/placement/quota_doubts.py
+++ b/src/onyxspoke/core/placement/quota_doubts.py
@@ -1,8 +1,8 @@
-"""What tenants may have running that a new holder has not seen yet.
+"""Estimates the usage of tenants that workers have not yet reported to a new holder.
 
-A new holder knows from the store which tasks are open, but not which of them run until their
-workers have told.  Until then each open task of a tenant counts as running, though all of them
-together no more than what those workers have.
+A new holder reads from the store which tasks are open, but learns only from the workers which of
+them run.  Until all workers have reported, each open task counts towards its tenant's quota.  The
+total per tenant is limited by the capacity of the workers that have not reported.
 """
 
 from __future__ import annotations
@@ -16,25 +16,29 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 
-def find_doubts(tasks: Iterable[TaskProgress], unsettled: list[Worker]) -> dict[TenantName, Needs]:
-    """Return what each tenant may have running on workers that have not told what they run.
+def find_doubts(
+    tasks: Iterable[TaskProgress], unreported_workers: list[Worker]
+) -> dict[TenantName, Needs]:
+    """Return the resources that each tenant may use on workers that have not reported their runs.
 
     Parameters
     ----------
     tasks : iterable of TaskProgress
-        Those that a former holder may have started and no worker has shown.
-    unsettled : list of Worker
-        Workers that may run them.
+        Tasks that a previous holder may have started and that no worker has reported.
+    unreported_workers : list of Worker
+        Workers that have not reported their runs and may run these tasks.
     """
-    if not unsettled:
+    if not unreported_workers:
         return {}
-    room = Needs()
-    for worker in unsettled:
-        room = plus(room, worker.record.capacity)
-    doubts: dict[TenantName, Needs] = {}
+    unreported_capacity = Needs()
+    for worker in unreported_workers:
+        unreported_capacity = plus(unreported_capacity, worker.record.capacity)
+    usage_by_tenant: dict[TenantName, Needs] = {}
     for task in tasks:
         step = task.step
         tenant = step.job.spec.tenant
         if tenant and not step.job.state.is_final:
-            doubts[tenant] = bounded(plus(doubts.get(tenant, Needs()), step.needs), room)
-    return doubts
+            usage_by_tenant[tenant] = bounded(
+                plus(usage_by_tenant.get(tenant, Needs()), step.needs), unreported_capacity
+            )
+    return usage_by_tenant
--- a/src/onyxspoke/core/placement/spreading.py
+++ b/src/onyxspoke/core/placement/spreading.py
@@ -1,8 +1,8 @@
-"""Which workers the tasks of one step go to: few workers, and few zones.
+"""Places the tasks of one step on few workers and in few zones.
 
-A job is done when its last task is, so one worker that crashes, hangs or is cut off holds up every
-job with a task there.  The fewer workers and zones a step is spread over, the fewer jobs a fault
-touches: so all of its tasks go to one worker where they fit, and to one zone elsewhere.
+A job ends when its last task ends, so a worker that crashes, hangs or loses its network delays
+every job with a task there.  The fewer workers and zones a step uses, the fewer jobs one fault
+affects.  So all tasks of a step go to one worker if they fit there, and otherwise to one zone.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
-from onyxspoke.core.placement.isolation import begins_apart, is_on_trial, place_apart
+from onyxspoke.core.placement.isolation import is_on_trial, needs_isolation, place_isolated
 from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.worker_pace import ALIKE, PaceTerms, pace_chooser
 from onyxspoke.core.placement.workers import Worker
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Placement:
-    """One task and the worker that is to run it."""
+    """A task, the worker that will run it, and the ticket for that worker."""
 
     task: TaskProgress
     worker: Worker
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class StepPlacement:
-    """Tasks of one step to start now; of a gang, all or none."""
+    """Placements of one step's tasks that start now; for a gang, all of its tasks."""
 
     step: StepProgress
     placements: list[Placement]
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """A worker that may run a step, and the leave to do so."""
+    """A worker that may run a step, and the ticket that permits it."""
 
     worker: Worker
     ticket: str
@@ -44,64 +44,69 @@
 def place_tasks(
     step: StepProgress,
     candidates: list[Candidate],
-    room: ScratchRoom,
-    most: int,
+    free_capacity: ScratchRoom,
+    max_tasks: int,
     now: float,
     minds_speed: bool = True,
 ) -> StepPlacement | None:
-    """Return where waiting tasks of a step, at most so many, start now, as far as there is room."""
-    chosen_tasks = [step.tasks[index] for index in step.waiting][:most]
-    on_trial = is_on_trial(step)
-    waiting = [task for task in chosen_tasks if not begins_apart(task, on_trial)]
-    suspects = [task for task in chosen_tasks if begins_apart(task, on_trial)]
+    """Return placements for up to ``max_tasks`` waiting tasks of a step.
+
+    The result is ``None`` if no task fits.
+    """
+    startable = [step.tasks[index] for index in step.waiting][:max_tasks]
+    step_is_on_trial = is_on_trial(step)
+    waiting = [task for task in startable if not needs_isolation(task, step_is_on_trial)]
+    suspects = [task for task in startable if needs_isolation(task, step_is_on_trial)]
     counts = counts_on_workers(step)
     zones = {task.run.worker.record.zone for task in step.tasks if task.run is not None}
-    left = list(candidates)
+    remaining = list(candidates)
     chooser = pace_chooser(step, (item.worker for item in candidates), minds_speed, now)
     placements: list[Placement] = []
-    while waiting and left:
+    while waiting and remaining:
         best: Candidate | None = None
         best_score: tuple[int, ...] | None = None
         best_tasks: list[TaskProgress] = []
-        for candidate in left:
-            tasks = _tasks_for(candidate.worker, step, waiting, counts, room, now)
+        for candidate in remaining:
+            tasks = _assignable_tasks(candidate.worker, step, waiting, counts, free_capacity, now)
             if not tasks:
                 continue
             pace = ALIKE if chooser is None else chooser.terms(candidate.worker)
-            score = _score(candidate.worker, step, tasks, len(waiting), zones, room, now, pace)
+            score = _score(
+                candidate.worker, step, tasks, len(waiting), zones, free_capacity, now, pace
+            )
             if best_score is None or score < best_score:
                 best, best_score, best_tasks = candidate, score, tasks
         if best is None:
             break
-        room.take(best.worker, step.needs, len(best_tasks))
+        free_capacity.take(best.worker, step.needs, len(best_tasks))
         placements += [Placement(task, best.worker, best.ticket) for task in best_tasks]
         zones.add(best.worker.record.zone)
         chosen = {task.index for task in best_tasks}
         waiting = [task for task in waiting if task.index not in chosen]
-        left = [candidate for candidate in left if candidate is not best]
-    for candidate, task in place_apart(step, suspects, left, counts, room, now):
+        remaining = [candidate for candidate in remaining if candidate is not best]
+    for candidate, task in place_isolated(step, suspects, remaining, counts, free_capacity, now):
         placements.append(Placement(task, candidate.worker, candidate.ticket))
     return StepPlacement(step, placements) if placements else None
 
 
-def _tasks_for(
+def _assignable_tasks(
     worker: Worker,
     step: StepProgress,
     waiting: list[TaskProgress],
     counts: dict[str, int],
-    room: ScratchRoom,
+    free_capacity: ScratchRoom,
     now: float,
 ) -> list[TaskProgress]:
-    """Return the tasks that would go to a worker, those that did not just fail there first."""
-    bound = min(room.slots(worker, step.needs), len(waiting))
+    """Return the tasks that a worker would get; tasks that last failed there are avoided."""
+    limit = min(free_capacity.slots(worker, step.needs), len(waiting))
     if step.spec.spread_limit:
-        bound = min(bound, step.spec.spread_limit - counts.get(worker.worker_id, 0))
+        limit = min(limit, step.spec.spread_limit - counts.get(worker.worker_id, 0))
     if worker.health.is_on_trial(now):
-        bound = min(bound, 1)
-    if bound <= 0:
+        limit = min(limit, 1)
+    if limit <= 0:
         return []
-    elsewhere = [task for task in waiting if task.failed_on != worker.worker_id]
-    return (elsewhere or waiting)[:bound]
+    not_failed_here = [task for task in waiting if task.failed_on != worker.worker_id]
+    return (not_failed_here or waiting)[:limit]
 
 
 def _score(
@@ -110,26 +115,27 @@
     tasks: list[TaskProgress],
     waiting_count: int,
     zones: set[str],
-    room: ScratchRoom,
+    free_capacity: ScratchRoom,
     now: float,
     pace: PaceTerms,
 ) -> tuple[int, ...]:
-    """Return how well a worker suits; the lowest is best.
+    """Return the score of a worker for the given tasks; the lowest is best.
 
-    Of equal ones the fullest worker is taken, so that room for wide tasks stays whole.  Where a
-    step takes accelerators, which are scarce, that goes before keeping its tasks together; and
-    before both that the job can be on time there.
+    Among otherwise equal workers, the one with the fewest free processors wins, which keeps whole
+    workers free for large tasks.  For a step that needs accelerators, which are scarce, a worker
+    with few free accelerators is preferred over one that keeps the tasks together.  A worker that
+    lets the job meet its objective is preferred over both.
     """
-    free = room.free(worker)
+    free = free_capacity.free(worker)
     needs_accelerators = step.needs.accelerators > 0
-    is_apart = bool(zones) and worker.record.zone not in zones
+    is_in_other_zone = bool(zones) and worker.record.zone not in zones
     return (
         int(tasks[0].failed_on == worker.worker_id),
         int(worker.health.is_doubtful(now)),
         int(is_far(worker, step)),
         pace.lateness,
         free.accelerators if needs_accelerators else 0,
-        int(is_apart),
+        int(is_in_other_zone),
         int(len(tasks) < waiting_count),
         pace.waste,
         free.processors_milli,
@@ -137,13 +143,16 @@
 
 
 def is_far(worker: Worker, step: StepProgress) -> bool:
-    """Return whether a worker is in another rack than the step's data."""
+    """Return whether a worker is outside the rack that the step prefers for its data."""
     rack = step.spec.preferred_rack
     return bool(rack) and worker.record.rack != rack
 
 
 def counts_on_workers(step: StepProgress) -> dict[str, int]:
-    """Return how many tasks of a step run on each worker, where their spread is bounded."""
+    """Return how many tasks of a step run on each worker, by worker id.
+
+    The result is empty if the step has no spread limit.
+    """
     counts: dict[str, int] = {}
     if step.spec.spread_limit:
         for task in step.tasks:
--- a/src/onyxspoke/core/placement/step_advice.py
+++ b/src/onyxspoke/core/placement/step_advice.py
@@ -1,4 +1,4 @@
-"""What the answers of the advice service say: of one step, and of the steps of a queue."""
+"""Advice from the advice service: per step, and statistics per job queue."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 from onyxspoke.core.shard.orders import AdviceResult
 
 _MILLISECONDS = 1_000.0
-#: A ticket is not used in its last moments.
+#: A ticket is not used in the last seconds of its validity.
 TICKET_MARGIN_SECONDS = 0.08
-#: Of what was learned of the share of good workers, so much is kept at each answer.
-GOOD_SHARE_KEPT = 0.95
-#: The share is never taken for lower, so that a few bad answers don't have everybody asked about.
-LOWEST_GOOD_SHARE = 0.05
+#: Weight of the previous totals when an answer updates an approval rate.
+APPROVAL_HISTORY_WEIGHT = 0.95
+#: Lower limit of an approval rate, so that a few negative answers do not lead to calls about all
+#: workers.
+MINIMUM_APPROVAL_RATE = 0.05
 
 
 @dataclass(slots=True)
 class HeldTicket:
-    """A ticket and the holder's second after which it is not used."""
+    """A ticket, and the time by the holder's clock after which it is not used."""
 
     text: str
     use_before: float
@@ -28,59 +29,58 @@
 
 @dataclass(slots=True)
 class StepAdvice:
-    """What is known about one step: tickets of the good workers, and those asked about."""
+    """Advice on one step: tickets of the approved workers, and all workers queried."""
 
     tickets: dict[WorkerId, HeldTicket] = field(default_factory=dict)
     asked: set[WorkerId] = field(default_factory=set)
-    #: Numbers of the calls about it that wait or are under way.
+    #: Numbers of the step's calls that are queued or in flight.
     open_calls: set[int] = field(default_factory=set)
     retry_at: float = 0.0
-    #: Whether it was told that the step does not ask yet.
-    is_put_off: bool = False
-    #: From when on workers that were not asked about, as those that came into use, may be asked
-    #: about by themselves.
+    #: Whether the log has recorded that the step defers its request for advice.
+    deferral_logged: bool = False
+    #: Earliest time for a call about workers that have not been queried, such as new workers.
     unknown_due_at: float = -math.inf
 
     @property
     def is_asking(self) -> bool:
-        """Whether a call about the step waits or is under way."""
+        """Whether a call about the step is queued or in flight."""
         return bool(self.open_calls)
 
     def valid_ticket(self, worker_id: WorkerId, now: float) -> str | None:
-        """Return the ticket for a worker, if it may still be used."""
-        held = self.tickets.get(worker_id)
-        if held is None or now >= held.use_before:
+        """Return the ticket for a worker, or ``None`` if there is none or it has expired."""
+        ticket = self.tickets.get(worker_id)
+        if ticket is None or now >= ticket.use_before:
             return None
-        return held.text
+        return ticket.text
 
     def may_run_on(self, worker_id: WorkerId) -> bool:
-        """Return whether a worker is good for the step, or was not asked about yet."""
+        """Return whether a worker is approved for the step, or has not been queried yet."""
         return worker_id in self.tickets or worker_id not in self.asked
 
 
 @dataclass(slots=True)
-class GoodShare:
-    """Which share of the workers is good for the steps of one queue.
+class ApprovalRate:
+    """Share of workers that the advice service approves for the steps of one job queue.
 
-    Starts at a half of a few; what was learned from long ago counts less and less.
+    The rate starts at one half, with the weight of a small call; old answers decay.
     """
 
-    good: float = 12.0
-    asked: float = 24.0
+    approved_count: float = 12.0
+    queried_count: float = 24.0
 
     @property
     def value(self) -> float:
-        """The share, by the answers so far."""
-        return max(self.good / self.asked, LOWEST_GOOD_SHARE)
+        """The share of queried workers that were approved, from 0 to 1."""
+        return max(self.approved_count / self.queried_count, MINIMUM_APPROVAL_RATE)
 
-    def note(self, call: AdviceCall, result: AdviceResult) -> None:
-        """Take an answer."""
-        self.good = self.good * GOOD_SHARE_KEPT + len(result.tickets)
-        self.asked = self.asked * GOOD_SHARE_KEPT + len(call.worker_ids)
+    def add_answer(self, call: AdviceCall, result: AdviceResult) -> None:
+        """Update the totals from the answer to a call."""
+        self.approved_count = self.approved_count * APPROVAL_HISTORY_WEIGHT + len(result.tickets)
+        self.queried_count = self.queried_count * APPROVAL_HISTORY_WEIGHT + len(call.worker_ids)
 
 
-def note_answer(advice: StepAdvice, call: AdviceCall, result: AdviceResult, now: float) -> None:
-    """Keep what an answer says of the workers that were asked about."""
+def record_answer(advice: StepAdvice, call: AdviceCall, result: AdviceResult, now: float) -> None:
+    """Store the tickets of an answer, and record the workers that the call named."""
     advice.asked.update(call.worker_ids)
     use_before = now + result.validity_ms / _MILLISECONDS - TICKET_MARGIN_SECONDS
     for ticket in result.tickets:
