--- a/features/steps/advice_cell.py
+++ b/features/steps/advice_cell.py
@@ -1,4 +1,4 @@
-"""A busy cell whose steps are placed and ask for advice, played in virtual time."""
+"""Simulates a busy cell in virtual time, with placement and calls to the advice service."""
 
 from __future__ import annotations
 
@@ -29,55 +29,55 @@
 
 
 @dataclass(frozen=True)
-class Kind:
-    """Jobs of one queue: its policy, its advice, and what a job is."""
+class JobKind:
+    """The policy and the advice service of one queue, and the jobs that are submitted to it."""
 
     priority: int
-    good: float
+    approval_rate: float
     decide_ms: float
     per_item_ms: float
-    tasks: int
+    task_count: int
     processors_milli: int
     seconds: float
     stretch: float = 4.0
-    target_ms: int = 1_000
+    target_latency_ms: int = 1_000
 
 
-#: A cell of many small workers.
-INSTITUTE = {
-    "urgent": Kind(0, 0.7, 9.4, 0.13, 3, 2_500, 0.64),
-    "gang": Kind(1, 0.25, 455.0, 6.5, 20, 4_500, 4.0),
-    "patient": Kind(2, 0.45, 156.0, 2.34, 25, 1_700, 3.4),
+#: Jobs for a cell of small workers.
+SMALL_WORKER_JOBS = {
+    "urgent": JobKind(0, 0.7, 9.4, 0.13, 3, 2_500, 0.64),
+    "gang": JobKind(1, 0.25, 455.0, 6.5, 20, 4_500, 4.0),
+    "patient": JobKind(2, 0.45, 156.0, 2.34, 25, 1_700, 3.4),
 }
-#: A cell of larger ones, with shorter objectives.
-REPAIR = {
-    "urgent": Kind(0, 0.7, 9.36, 0.13, 3, 9_900, 0.64, 1.5, 300),
-    "gang": Kind(1, 0.3, 559.0, 8.06, 20, 18_000, 5.0, 2.2, 1_000),
-    "patient": Kind(2, 0.45, 130.0, 1.82, 25, 6_900, 2.7, 4.0, 3_000),
+#: Jobs for a cell of large workers, with shorter objectives.
+LARGE_WORKER_JOBS = {
+    "urgent": JobKind(0, 0.7, 9.36, 0.13, 3, 9_900, 0.64, 1.5, 300),
+    "gang": JobKind(1, 0.3, 559.0, 8.06, 20, 18_000, 5.0, 2.2, 1_000),
+    "patient": JobKind(2, 0.45, 130.0, 1.82, 25, 6_900, 2.7, 4.0, 3_000),
 }
 
 
-class Start(NamedTuple):
-    """A start of a task."""
+class TaskStart(NamedTuple):
+    """One start of a task."""
 
     at: float
     job_id: str
     worker_id: str
 
 
-class Cell:
-    """Workers, entries, and a clock of its own."""
+class SimulatedCell:
+    """A placer with its workers, entries and advice service, and a virtual clock in seconds."""
 
     def __init__(
         self,
         workers: int,
         entries: int,
-        kinds: dict[str, Kind] = INSTITUTE,
+        job_kinds: dict[str, JobKind] = SMALL_WORKER_JOBS,
         capacity: Needs = SMALL_WORKER,
         validity_ms: float = 1_500.0,
         has_shares: bool = False,
     ) -> None:
-        self.kinds = kinds
+        self.job_kinds = job_kinds
         self.validity_ms = validity_ms
         self.now = 100.0
         self.random = random.Random(workers)
@@ -85,21 +85,21 @@
         self.desk = AdviceDesk(0, has_shares)
         self.placer = Placer(self.table, self.desk, stop_seconds=0.9)
         self.steps: dict[str, StepProgress] = {}
-        self.handed_in: dict[str, list[tuple[str, float]]] = {}
-        self.begun: dict[str, float] = {}
-        self.done: dict[str, float] = {}
-        self.starts: list[Start] = []
+        self.submissions: dict[str, list[tuple[str, float]]] = {}
+        self.first_start_at: dict[str, float] = {}
+        self.completed_at: dict[str, float] = {}
+        self.starts: list[TaskStart] = []
         self.busy_until: dict[str, float] = {}
-        self.carried: dict[str, set[str]] = {}
-        #: When each job's first answer came.
-        self.advised: dict[str, float] = {}
-        #: Entries that do not answer until a moment, and those that take many times as long.
-        self.cut_until: dict[str, float] = {}
-        self.slow: dict[str, float] = {}
+        self.entries_by_queue: dict[str, set[str]] = {}
+        #: When the first answer about each job arrived.
+        self.first_answer_at: dict[str, float] = {}
+        #: Time until which an entry does not answer, and factor by which an entry is slow.
+        self.disconnected_until: dict[str, float] = {}
+        self.slowdown: dict[str, float] = {}
         self.calls: list[AdviceCall] = []
-        self.sent: list[tuple[float, str, tuple[str, ...], str]] = []
+        self.sent_calls: list[tuple[float, str, tuple[str, ...], str]] = []
         self.entries = [f"entry-{number:02}" for number in range(entries)]
-        self._later: list[tuple[float, int, Callable[[], None]]] = []
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
         self.desk.set_advisors(self.entries, self.now)
         for number in range(workers):
@@ -116,57 +116,68 @@
             worker.is_recorded = True
             self.table.workers[record.worker_id] = worker
 
-    def later(self, seconds: float, function: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, function: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._later, (self.now + seconds, self._count, function))
+        heapq.heappush(self._events, (self.now + seconds, self._count, function))
 
-    def hand_in(self, kind: str, is_beyond_share: bool = False) -> StepProgress:
-        traits = self.kinds[kind]
+    def submit_job(self, kind: str, is_beyond_share: bool = False) -> StepProgress:
+        job_kind = self.job_kinds[kind]
         queue = QueuePolicy(
             name=kind,
             service=SERVICE,
-            priority=traits.priority,
-            stretch=traits.stretch,
-            target_latency_ms=traits.target_ms,
-            advice=AdvicePolicy(traits.decide_ms, traits.per_item_ms, self.validity_ms),
+            priority=job_kind.priority,
+            stretch=job_kind.stretch,
+            target_latency_ms=job_kind.target_latency_ms,
+            advice=AdvicePolicy(job_kind.decide_ms, job_kind.per_item_ms, self.validity_ms),
         )
         spec = StepSpec(
-            task_count=traits.tasks,
-            processors_milli=traits.processors_milli,
+            task_count=job_kind.task_count,
+            processors_milli=job_kind.processors_milli,
             memory_mb=100,
-            estimated_ms=int(traits.seconds * 1_000),
+            estimated_ms=int(job_kind.seconds * 1_000),
             gang=kind == "gang",
         )
-        group = f"flood {kind}" if is_beyond_share else kind
-        name = f"{group}-{len(self.handed_in.setdefault(group, []))}"
+        submitter = f"flood {kind}" if is_beyond_share else kind
+        name = f"{submitter}-{len(self.submissions.setdefault(submitter, []))}"
         job_spec = JobSpec(
             job_id=name, queue=queue, payload="", steps=(spec,), is_beyond_share=is_beyond_share
         )
         job = JobProgress(job_spec, self.now)
         job.committed_state = JobState.QUEUED
         self.steps[name] = job.begin_repetition(0, self.now)[0]
-        self.handed_in[group].append((name, self.now))
+        self.submissions[submitter].append((name, self.now))
         return self.steps[name]
 
-    def hand_in_evenly(
-        self, kind: str, a_second: float, since: float, seconds: float, beyond: bool = False
+    def submit_evenly(
+        self,
+        kind: str,
+        jobs_per_second: float,
+        delay_seconds: float,
+        seconds: float,
+        is_beyond_share: bool = False,
     ) -> None:
-        """Have jobs of a kind handed in from a moment on, counted from now."""
-        for number in range(int(a_second * seconds)):
-            self.later(since + number / a_second, lambda: self.hand_in(kind, beyond))
+        """Submit jobs of a kind at a constant rate, beginning after a delay."""
+        for number in range(int(jobs_per_second * seconds)):
+            self.schedule(
+                delay_seconds + number / jobs_per_second,
+                lambda: self.submit_job(kind, is_beyond_share),
+            )
 
-    def cut(self, count: int, since: float, seconds: float) -> None:
-        """Cut so many entries off, spread over all of them but the first."""
-        chosen = self.entries[1:][:: max(1, (len(self.entries) - 1) // count)][:count]
-        for name in chosen:
-            self.later(since, lambda name=name: self.cut_until.update({name: self.now + seconds}))
+    def disconnect_entries(self, count: int, delay_seconds: float, seconds: float) -> None:
+        """Disconnect entries after a delay, evenly spread over all entries except the first."""
+        selected = self.entries[1:][:: max(1, (len(self.entries) - 1) // count)][:count]
+        for name in selected:
+            self.schedule(
+                delay_seconds,
+                lambda name=name: self.disconnected_until.update({name: self.now + seconds}),
+            )
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
         while self.now < end:
             self.now += PASS_SECONDS
-            while self._later and self._later[0][0] <= self.now:
-                heapq.heappop(self._later)[2]()
+            while self._events and self._events[0][0] <= self.now:
+                heapq.heappop(self._events)[2]()
             self._make_pass()
 
     def _make_pass(self) -> None:
@@ -176,14 +187,14 @@
         quotas = no_quotas()
         for plan in self.placer.plan(waiting, PolicySet(), quotas, self.now):
             name = plan.step.job.job_id
-            self.begun.setdefault(name, self.now)
+            self.first_start_at.setdefault(name, self.now)
             for placement in plan.placements:
                 self._start(plan.step, placement.task.index, placement.worker)
         for call in self.desk.dispatch(self.now):
-            self._carry(call)
+            self._answer_call(call)
 
     def _start(self, step: StepProgress, index: int, worker: Worker) -> None:
-        self.starts.append(Start(self.now, step.job.job_id, worker.worker_id))
+        self.starts.append(TaskStart(self.now, step.job.job_id, worker.worker_id))
         task = step.tasks[index]
         run = Run(task, 1, worker, self.now)
         run.move_to(RunState.RUNNING)
@@ -199,49 +210,53 @@
             task.move_to(TaskState.DONE)
             self.table.note_gain(worker)
             if step.is_done:
-                self.done[step.job.job_id] = self.now
+                self.completed_at[step.job.job_id] = self.now
 
-        self.later(step.spec.estimated_ms / 1_000.0, end)
+        self.schedule(step.spec.estimated_ms / 1_000.0, end)
 
-    def _carry(self, call: AdviceCall) -> None:
-        """Have an entry's call answered when those before it have been."""
+    def _answer_call(self, call: AdviceCall) -> None:
+        """Schedule the answer to a call after the answers to the entry's earlier calls."""
         kind = call.queue
         self.calls.append(call)
-        self.sent.append((self.now, call.step.name, call.worker_ids, call.advisor))
-        self.carried.setdefault(kind, set()).add(call.advisor)
-        if self.now < self.cut_until.get(call.advisor, 0.0):
+        self.sent_calls.append((self.now, call.step.name, call.worker_ids, call.advisor))
+        self.entries_by_queue.setdefault(kind, set()).add(call.advisor)
+        if self.now < self.disconnected_until.get(call.advisor, 0.0):
             return
-        begins = max(self.busy_until.get(call.advisor, 0.0), self.now)
-        self.busy_until[call.advisor] = ends = begins + call.seconds * self.slow.get(
+        starts_at = max(self.busy_until.get(call.advisor, 0.0), self.now)
+        self.busy_until[call.advisor] = ends_at = starts_at + call.seconds * self.slowdown.get(
             call.advisor, 1.0
         )
-        good = [name for name in call.worker_ids if self.is_good(call.step, name, kind)]
-        tickets = [Ticket(name, "leave") for name in good]
+        approved_names = [
+            name for name in call.worker_ids if self.is_approved(call.step, name, kind)
+        ]
+        tickets = [Ticket(name, "leave") for name in approved_names]
         call_id, job_id, advisor = call.call_id, call.step.job_id, call.advisor
         result = AdviceResult(AdviceOutcome.ANSWERED, tickets, self.validity_ms)
 
         def answer() -> None:
-            if self.now < self.cut_until.get(advisor, 0.0):
+            if self.now < self.disconnected_until.get(advisor, 0.0):
                 return
-            self.advised.setdefault(job_id, self.now)
+            self.first_answer_at.setdefault(job_id, self.now)
             step = self.desk.handle_result(call_id, result, self.now)
             if step is not None:
                 self.placer.reconsider(step)
 
-        self.later(ends - self.now, answer)
+        self.schedule(ends_at - self.now, answer)
 
-    def is_good(self, step: StepKey, worker_id: str, kind: str) -> bool:
-        """Return whether the service would let a worker run a step."""
-        return random.Random(f"{step}/{worker_id}").random() < self.kinds[kind].good
+    def is_approved(self, step: StepKey, worker_id: str, kind: str) -> bool:
+        """Return whether the advice service approves a worker for a step."""
+        return random.Random(f"{step}/{worker_id}").random() < self.job_kinds[kind].approval_rate
 
-    def waits(self, group: str, moments: dict[str, float]) -> list[float]:
-        """Return how long jobs waited until their moment, or until now, the longest last."""
-        handed_in = self.handed_in.get(group, [])
-        return sorted(moments.get(name, self.now) - at for name, at in handed_in)
+    def wait_seconds(self, submitter: str, end_times: dict[str, float]) -> list[float]:
+        """Return the seconds that each job waited until its end time, or until now, in order."""
+        submissions = self.submissions.get(submitter, [])
+        return sorted(end_times.get(name, self.now) - at for name, at in submissions)
 
-    def share_begun(self, kind: str, seconds: float) -> float:
-        handed_in = self.handed_in[kind]
-        in_time = [
-            name for name, at in handed_in if self.begun.get(name, float("inf")) - at <= seconds
+    def share_started_within(self, kind: str, seconds: float) -> float:
+        submissions = self.submissions[kind]
+        started_in_time = [
+            name
+            for name, at in submissions
+            if self.first_start_at.get(name, float("inf")) - at <= seconds
         ]
-        return len(in_time) / len(handed_in)
+        return len(started_in_time) / len(submissions)
--- a/features/steps/advice_full_cell_steps.py
+++ b/features/steps/advice_full_cell_steps.py
@@ -1,90 +1,103 @@
-"""Steps about a full cell and a flood beyond a share: who is asked about, who begins."""
+"""Steps about a full cell and a flood over a tenant's share: calls for advice, and job starts."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from advice_cell import LARGE_WORKER, REPAIR, Cell
+from advice_cell import LARGE_WORKER, LARGE_WORKER_JOBS, SimulatedCell
 from behave import given, then, when
 
 
-@given("a full repair cell of {workers:d} workers with shares")
+@given("a full cell of {workers:d} large workers with fair shares")
 def _full_cell(context: Any, workers: int) -> None:
-    context.cell = cell = Cell(workers, 4, REPAIR, LARGE_WORKER, 2_000.0, has_shares=True)
+    context.cell = cell = SimulatedCell(
+        workers, 4, LARGE_WORKER_JOBS, LARGE_WORKER, 2_000.0, has_shares=True
+    )
     for _number in range(workers):
-        cell.hand_in("patient")
+        cell.submit_job("patient")
     cell.run(0.8)
 
 
-@when("{flood:d} patient jobs beyond a tenant's share and then {owed:d} owed one are handed in")
-def _hand_in_both(context: Any, flood: int, owed: int) -> None:
+@when(
+    "{flood:d} patient jobs over a tenant's share and then {entitled:d} entitled job are submitted"
+)
+def _submit_flood_and_entitled_job(context: Any, flood: int, entitled: int) -> None:
     cell = context.cell
-    context.flood = [cell.hand_in("patient", is_beyond_share=True).job for _number in range(flood)]
-    [context.owed] = [cell.hand_in("patient").job for _number in range(owed)]
+    context.flood = [
+        cell.submit_job("patient", is_beyond_share=True).job for _number in range(flood)
+    ]
+    [context.entitled] = [cell.submit_job("patient").job for _number in range(entitled)]
     cell.desk.take_notices(cell.now)
     cell.run(0.3)
 
 
-@then("none of the flood is asked about at first, and the log tells why")
-def _flood_waits(context: Any) -> None:
+@then("no call about the flood is made at first, and the log gives the reason")
+def _check_flood_is_deferred(context: Any) -> None:
     cell = context.cell
-    asked = {call.step.job_id for call in cell.calls}
-    assert not asked & {job.job_id for job in context.flood}
-    told = [item for item in cell.desk.take_notices(cell.now) if item.event == "advice_put_off"]
-    named = {str(item.fields["step"]).partition(".")[0] for item in told}
-    assert {job.job_id for job in context.flood} <= named, named
+    called_job_ids = {call.step.job_id for call in cell.calls}
+    assert not called_job_ids & {job.job_id for job in context.flood}
+    deferrals = [
+        item for item in cell.desk.take_notices(cell.now) if item.event == "advice_put_off"
+    ]
+    deferred_job_ids = {str(item.fields["step"]).partition(".")[0] for item in deferrals}
+    assert {job.job_id for job in context.flood} <= deferred_job_ids, deferred_job_ids
 
 
-@then("the owed one is asked about before all of the flood")
-def _owed_first(context: Any) -> None:
+@then("the first call about the entitled job is made before all calls about the flood")
+def _check_entitled_job_goes_first(context: Any) -> None:
     cell = context.cell
     cell.run(30.0)
-    first: dict[str, float] = {}
+    first_calls: dict[str, float] = {}
     for call in cell.calls:
-        first.setdefault(call.step.job_id, call.started_at)
-    asked_at = first[context.owed.job_id]
-    assert asked_at < min(first[job.job_id] for job in context.flood)
+        first_calls.setdefault(call.step.job_id, call.started_at)
+    first_call_at = first_calls[context.entitled.job_id]
+    assert first_call_at < min(first_calls[job.job_id] for job in context.flood)
 
 
-@then("all have begun in the end")
-def _all_begun(context: Any) -> None:
+@then("all jobs start eventually")
+def _check_all_jobs_started(context: Any) -> None:
     cell = context.cell
-    assert cell.steps.keys() == cell.begun.keys()
+    assert cell.steps.keys() == cell.first_start_at.keys()
 
 
-@given("full repair cells of {workers:d} workers with shares, alike but for a flood")
-def _alike_cells(context: Any, workers: int) -> None:
+@given("two full cells of {workers:d} large workers with fair shares, equal except for a flood")
+def _make_equal_cells(context: Any, workers: int) -> None:
     context.cells = []
     for _name in ("with the flood", "without"):
         _full_cell(context, workers)
         context.cells.append(context.cell)
 
 
-@when("an owed step is handed in to both, and {count:d} jobs beyond a share to one")
-def _to_both(context: Any, count: int) -> None:
+@when(
+    "an entitled job is submitted to both cells, and {count:d} jobs over a tenant's share to"
+    " one of them"
+)
+def _submit_to_both_cells(context: Any, count: int) -> None:
     for cell, flood in zip(context.cells, (count, 0), strict=True):
         for _number in range(flood):
-            cell.hand_in("patient", is_beyond_share=True)
-        context.owed = cell.hand_in("patient").job
+            cell.submit_job("patient", is_beyond_share=True)
+        context.entitled = cell.submit_job("patient").job
         cell.run(30.0)
 
 
-def _begun(cell: Cell, job_id: str) -> list[float]:
+def _start_times(cell: SimulatedCell, job_id: str) -> list[float]:
     return sorted(start.at for start in cell.starts if start.job_id == job_id)
 
 
-@then("each task of the owed step begins no later beside the flood")
-def _no_later(context: Any) -> None:
-    beside, alone = (_begun(cell, context.owed.job_id) for cell in context.cells)
-    assert len(beside) == len(alone) == REPAIR["patient"].tasks
-    late = [(a, b) for a, b in zip(alone, beside, strict=True) if b > a]
-    assert not late, late[:3]
+@then("each task of the entitled job starts no later with the flood than without")
+def _check_no_task_starts_later(context: Any) -> None:
+    with_flood, without_flood = (
+        _start_times(cell, context.entitled.job_id) for cell in context.cells
+    )
+    assert len(with_flood) == len(without_flood) == LARGE_WORKER_JOBS["patient"].task_count
+    late_starts = [(a, b) for a, b in zip(without_flood, with_flood, strict=True) if b > a]
+    assert not late_starts, late_starts[:3]
 
 
-@then("the flood begins meanwhile where the owed step may not run")
-def _elsewhere(context: Any) -> None:
-    [cell, _alone] = context.cells
-    last_at = _begun(cell, context.owed.job_id)[-1]
-    early = [s for s in cell.starts if s.job_id.startswith("flood") and s.at <= last_at]
-    step = cell.steps[context.owed.job_id].key
-    assert any(not cell.is_good(step, start.worker_id, "patient") for start in early)
+@then("meanwhile the flood starts on workers that are not approved for the entitled job")
+def _check_flood_uses_unapproved_workers(context: Any) -> None:
+    [cell, _without_flood] = context.cells
+    last_at = _start_times(cell, context.entitled.job_id)[-1]
+    flood_starts = [s for s in cell.starts if s.job_id.startswith("flood") and s.at <= last_at]
+    step = cell.steps[context.entitled.job_id].key
+    assert any(not cell.is_approved(step, start.worker_id, "patient") for start in flood_starts)
--- a/features/steps/naive_advice.py
+++ b/features/steps/naive_advice.py
@@ -1,4 +1,4 @@
-"""The line for advice without shares, as plainly as it can be written."""
+"""A simple reference implementation of the advice dispatcher without fair shares."""
 
 from __future__ import annotations
 
@@ -21,88 +21,94 @@
     overdue_at: float = math.inf
 
 
-class NaiveDesk:
-    """Ranks stay as they were wanted; an entry in doubt comes last for 1 s; retries after 0.1 s."""
+class NaiveDispatcher:
+    """Ranks are fixed when calls are queued; an entry is suspected for 1 s; retries after 0.1 s."""
 
     def __init__(self) -> None:
-        self.names: list[str] = []
+        self.entry_names: list[str] = []
         self.free_at: dict[str, float] = {}
         self.suspected_until: dict[str, float] = {}
-        self.waiting: list[_Call] = []
-        self.out: list[_Call] = []
-        self.open: dict[Any, int] = {}
+        self.queued: list[_Call] = []
+        self.in_flight: list[_Call] = []
+        self.open_call_counts: dict[Any, int] = {}
         self.retry_at: dict[Any, float] = {}
         self.places = AdvicePlaces()
         self.slowness = 1.0
-        self.count = 0
+        self.last_number = 0
 
-    def set_advisors(self, names: list[str], now: float) -> None:
-        gone = set(self.names) - set(names)
-        self.names = names
-        for name in gone:
+    def set_advisors(self, entry_names: list[str], now: float) -> None:
+        removed_names = set(self.entry_names) - set(entry_names)
+        self.entry_names = entry_names
+        for name in removed_names:
             self.free_at.pop(name, None)
             self.suspected_until.pop(name, None)
-        for call in [call for call in self.out if call.entry not in names]:
+        for call in [call for call in self.in_flight if call.entry not in entry_names]:
             self.give_up(call, now)
 
     def want(self, step: Any, seconds: float, rank: Any, now: float) -> None:
-        if self.open.get(step, 0) > 0 or now < self.retry_at.get(step, 0.0):
+        if self.open_call_counts.get(step, 0) > 0 or now < self.retry_at.get(step, 0.0):
             return
-        self.count += 1
-        self.open[step] = self.open.get(step, 0) + 1
+        self.last_number += 1
+        self.open_call_counts[step] = self.open_call_counts.get(step, 0) + 1
         self.places.record_call(seconds, now)
-        self.waiting.append(_Call(self.count, step, seconds, rank))
+        self.queued.append(_Call(self.last_number, step, seconds, rank))
 
     def dispatch(self, now: float) -> list[tuple[int, str]]:
-        for call in [call for call in self.out if now >= call.overdue_at]:
+        for call in [call for call in self.in_flight if now >= call.overdue_at]:
             self.give_up(call, now)
-        sent = []
-        for call in sorted(self.waiting, key=lambda call: (call.rank, call.number)):
-            scores = sorted(score for name in self.names for score in self.score(name, call, now))
-            if not scores or scores[0][1] - now > call.seconds:
+        sent_calls = []
+        for call in sorted(self.queued, key=lambda call: (call.rank, call.number)):
+            sorted_scores = sorted(
+                scores_of
+                for name in self.entry_names
+                for scores_of in self.scores_of(name, call, now)
+            )
+            if not sorted_scores or sorted_scores[0][1] - now > call.seconds:
                 continue
-            call.entry = scores[0][-1]
-            call.started_at = scores[0][1]
+            call.entry = sorted_scores[0][-1]
+            call.started_at = sorted_scores[0][1]
             self.free_at[call.entry] = call.started_at + call.seconds
             expected = call.seconds * max(1.0, self.slowness)
-            # As the desk reckons: to the last bit.
+            # The dispatcher computes it this way, and the results must be equal to the last bit.
             started_at = self.free_at[call.entry] - call.seconds
             call.started_at = started_at
             call.overdue_at = started_at + 1.5 * expected + 0.3
-            self.waiting.remove(call)
-            self.out.append(call)
-            sent.append((call.number, call.entry))
-        return sent
-
-    def score(self, name: str, call: _Call, now: float) -> list[tuple[Any, ...]]:
-        first, behind = self.places.entry_range(call.seconds, len(self.names), now)
-        place = self.names.index(name)
-        if place < first or sum(other.entry == name for other in self.out) >= 2:
+            self.queued.remove(call)
+            self.in_flight.append(call)
+            sent_calls.append((call.number, call.entry))
+        return sent_calls
+
+    def scores_of(self, name: str, call: _Call, now: float) -> list[tuple[Any, ...]]:
+        range_start, range_end = self.places.entry_range(call.seconds, len(self.entry_names), now)
+        position = self.entry_names.index(name)
+        if position < range_start or sum(other.entry == name for other in self.in_flight) >= 2:
             return []
-        preference = zlib.crc32(f"0/{name}".encode()) if place else -1
+        tie_break = zlib.crc32(f"0/{name}".encode()) if position else -1
         free_at = max(self.free_at.get(name, 0.0), now)
-        is_doubted = now < self.suspected_until.get(name, 0.0)
-        return [(is_doubted, free_at, place >= behind, preference, name)]
+        is_suspected = now < self.suspected_until.get(name, 0.0)
+        return [(is_suspected, free_at, position >= range_end, tie_break, name)]
 
     def answer(self, number: int, now: float) -> None:
-        for call in [call for call in self.out if call.number == number]:
-            took = max(0.0, now - call.started_at)
-            self.slowness = took / max(call.seconds, MAXIMUM_SHORT_CALL_SECONDS)
+        for call in [call for call in self.in_flight if call.number == number]:
+            elapsed = max(0.0, now - call.started_at)
+            self.slowness = elapsed / max(call.seconds, MAXIMUM_SHORT_CALL_SECONDS)
             self.end(call, now)
-            self.open[call.step] -= 1
+            self.open_call_counts[call.step] -= 1
 
     def fail(self, number: int, now: float) -> None:
-        for call in [call for call in self.out if call.number == number]:
+        for call in [call for call in self.in_flight if call.number == number]:
             self.give_up(call, now)
 
     def give_up(self, call: _Call, now: float) -> None:
         self.end(call, now)
-        if call.entry in self.names:
+        if call.entry in self.entry_names:
             self.suspected_until[call.entry] = now + 1.0
-        self.open[call.step] -= 1
+        self.open_call_counts[call.step] -= 1
         self.retry_at[call.step] = now + 0.1
 
     def end(self, call: _Call, now: float) -> None:
-        self.out.remove(call)
-        if call.entry in self.names and not any(one.entry == call.entry for one in self.out):
+        self.in_flight.remove(call)
+        if call.entry in self.entry_names and not any(
+            other_call.entry == call.entry for other_call in self.in_flight
+        ):
             self.free_at[call.entry] = now
--- a/src/onyxspoke/core/placement/advice_choice.py
+++ b/src/onyxspoke/core/placement/advice_choice.py
@@ -66,14 +66,14 @@
         #: Number of the step's tasks on each worker; empty unless the step has a spread limit.
         self._task_counts = counts_on_workers(step)
 
-    def unknown(self, most: int, advice: StepAdvice) -> list[WorkerId]:
-        """Return the workers for the first call about a step of which ``most`` tasks may start."""
+    def unknown(self, max_tasks: int, advice: StepAdvice) -> list[WorkerId]:
+        """Return the workers for the first call about a step that may start ``max_tasks`` tasks."""
         workers = self._unqueried_workers(advice)
-        wanted_slots = most * FREE_CAPACITY_FACTOR
+        wanted_slots = max_tasks * FREE_CAPACITY_FACTOR
         selected, expected_slots = self._select_until_enough(workers, wanted_slots, self.slots_now)
         if expected_slots < wanted_slots:
             # Too little capacity is free for all tasks, so some of them will have to wait.
-            wanted_slots = most * TOTAL_CAPACITY_FACTOR
+            wanted_slots = max_tasks * TOTAL_CAPACITY_FACTOR
             selected, _expected_slots = self._select_until_enough(
                 workers, wanted_slots, self._total_slots
             )
@@ -98,18 +98,18 @@
 
         Workers without free capacity are left out.
         """
-        names: list[WorkerId] = []
+        worker_ids_to_query: list[WorkerId] = []
         for worker_id, ticket in advice.tickets.items():
             worker = self._schedulable.workers.get(worker_id)
             if worker is None or now < ticket.use_before:
                 continue
             slots = self.slots_now(worker)
             if slots > 0:
-                names.append(worker_id)
+                worker_ids_to_query.append(worker_id)
                 missing_tasks -= slots
                 if missing_tasks <= 0:
                     break
-        return names
+        return worker_ids_to_query
 
     def again_for_long(self, missing_tasks: int, advice: StepAdvice, now: float) -> list[WorkerId]:
         """Return the workers of ``again``, and approved workers that may gain free capacity soon.
@@ -118,15 +118,17 @@
         renews the tickets that it may use next in one call per ticket validity, not in one call
         each time that a worker gains free capacity.
         """
-        names = self.again(missing_tasks, advice, now)
-        if not names:
-            return names
+        worker_ids_to_query = self.again(missing_tasks, advice, now)
+        if not worker_ids_to_query:
+            return worker_ids_to_query
         further_ids = [
             worker_id
             for worker_id, ticket in advice.tickets.items()
             if now >= ticket.use_before and worker_id in self._schedulable.workers
         ]
-        return list(dict.fromkeys(names + further_ids))[: max(len(names), FEWEST_ASKED)]
+        return list(dict.fromkeys(worker_ids_to_query + further_ids))[
+            : max(len(worker_ids_to_query), FEWEST_ASKED)
+        ]
 
     def _unqueried_workers(self, advice: StepAdvice) -> list[Worker]:
         return [
@@ -168,15 +170,15 @@
         return min(self._task_limit, slots_within(worker.record.capacity, self._step.needs))
 
 
-def pause_seconds(policy: AdvicePolicy, count: int) -> float:
+def pause_seconds(policy: AdvicePolicy, worker_count: int) -> float:
     """Return the least time, in seconds, between two calls of a step about new workers.
 
     Parameters
     ----------
-    count : int
+    worker_count : int
         Number of workers in the first of the two calls.
     """
-    return CALL_INTERVAL_FACTOR * policy.call_seconds(count)
+    return CALL_INTERVAL_FACTOR * policy.call_seconds(worker_count)
 
 
 def _worker_ids(workers: Iterable[Worker]) -> list[WorkerId]:
@@ -197,7 +199,10 @@
     balanced_size = (
         int(policy.decide_ms / policy.per_item_ms) if policy.per_item_ms else len(worker_ids)
     )
-    most = min(MAXIMUM_WORKERS_ASKED, max(balanced_size, MINIMUM_WORKERS_ASKED))
-    count = -(-len(worker_ids) // most)
-    size = -(-len(worker_ids) // count)
-    return [tuple(worker_ids[start : start + size]) for start in range(0, len(worker_ids), size)]
+    max_workers = min(MAXIMUM_WORKERS_ASKED, max(balanced_size, MINIMUM_WORKERS_ASKED))
+    call_count = -(-len(worker_ids) // max_workers)
+    call_size = -(-len(worker_ids) // call_count)
+    return [
+        tuple(worker_ids[start : start + call_size])
+        for start in range(0, len(worker_ids), call_size)
+    ]
--- a/src/onyxspoke/core/placement/advice_desk.py
+++ b/src/onyxspoke/core/placement/advice_desk.py
@@ -112,12 +112,12 @@
         advice = self.advice_on(step)
         if advice.is_asking or now < advice.retry_at or not worker_ids:
             return
-        for chosen in split_into_calls(step, policy, worker_ids):
-            seconds = policy.call_seconds(len(chosen))
+        for named_workers in split_into_calls(step, policy, worker_ids):
+            seconds = policy.call_seconds(len(named_workers))
             self._last_call_id += 1
             number = self._last_call_id
             queue = step.job.spec.queue.name
-            call = AdviceCall(number, step, queue, chosen, seconds, rank, now, number)
+            call = AdviceCall(number, step, queue, named_workers, seconds, rank, now, number)
             advice.open_calls.add(number)
             self._entries.partition.record_call(seconds, now)
             if rank.is_owed:
@@ -219,9 +219,11 @@
 
         Timeouts are never skipped in two passes in a row.
         """
-        pause, self._last_pass_at = now - self._last_pass_at, now
+        seconds_since_pass, self._last_pass_at = now - self._last_pass_at, now
         self._skipped_timeouts = (
-            self.has_shares and pause > STALL_THRESHOLD_SECONDS and not self._skipped_timeouts
+            self.has_shares
+            and seconds_since_pass > STALL_THRESHOLD_SECONDS
+            and not self._skipped_timeouts
         )
         return self._skipped_timeouts
 
@@ -277,13 +279,13 @@
         calls = [call]
         if self.has_shares and entry is not None:
             calls = list(entry.in_flight.values())
-        for item in calls:
-            self._finish_call(item, now)
-            self._abandoned[item.call_id] = item
+        for abandoned_call in calls:
+            self._finish_call(abandoned_call, now)
+            self._abandoned[abandoned_call.call_id] = abandoned_call
             if self.has_shares:
-                self._requeue(item, now)
+                self._requeue(abandoned_call, now)
             else:
-                self._schedule_retry(item, now)
+                self._schedule_retry(abandoned_call, now)
         if is_newly_suspected and entry is not None:
             self._log_events.append(entry_suspected(entry, reason, len(calls), now))
 
--- a/src/onyxspoke/core/placement/advice_entries.py
+++ b/src/onyxspoke/core/placement/advice_entries.py
@@ -215,10 +215,10 @@
         if now < entry.suspected_until and now < entry.suspected_at + ALL_SUSPECTED_RETRY_SECONDS:
             return False
         doublings = min(entry.suspect_count, MAXIMUM_DOUBLINGS)
-        pause = min(SUSPECT_SECONDS * 2.0**doublings, MAXIMUM_SUSPECT_SECONDS)
+        backoff_seconds = min(SUSPECT_SECONDS * 2.0**doublings, MAXIMUM_SUSPECT_SECONDS)
         entry.suspect_count += 1
         entry.suspected_at = now
-        entry.suspected_until = now + pause
+        entry.suspected_until = now + backoff_seconds
         return True
 
     def clear_suspicion(self, entry: AdviceEntry, now: float) -> int:
@@ -242,13 +242,13 @@
         for entry in self.usable:
             if entry.position < range_start or not self._has_call_slot(entry):
                 continue
-            is_doubted = int(now < entry.suspected_until)
+            is_suspected = int(now < entry.suspected_until)
             # Add the extra time that a slow entry takes, so that faster entries are preferred.
             extra_seconds = self._expected_seconds(call, entry) - call.seconds
             free_at = max(entry.free_at, now) + extra_seconds
             is_outside_range = int(entry.position >= range_end)
             is_probed = int(self._has_shares and entry.suspect_count > 0)
-            score = (is_doubted, free_at, is_probed, is_outside_range, entry.tie_break)
+            score = (is_suspected, free_at, is_probed, is_outside_range, entry.tie_break)
             if score < best_score:
                 best, best_score = entry, score
         if best is None or best.free_at - now > call.seconds:
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -71,7 +71,7 @@
     step: StepProgress,
     suspects: list[TaskProgress],
     candidates: list[AnyHasWorker],
-    counts: dict[str, int],
+    task_counts: dict[str, int],
     free_capacity: ScratchRoom,
     now: float,
 ) -> list[tuple[AnyHasWorker, TaskProgress]]:
@@ -79,30 +79,30 @@
 
     Workers where isolation affects other jobs least are used first.
     """
-    chosen: list[tuple[AnyHasWorker, TaskProgress]] = []
+    placed: list[tuple[AnyHasWorker, TaskProgress]] = []
     waiting = list(suspects)
     one_worker_at_a_time = is_on_trial(step)
     if one_worker_at_a_time and now < step.begins_apart_until:
-        return chosen
+        return placed
     for candidate in sorted(
         candidates, key=lambda candidate: _isolation_cost(candidate.worker, free_capacity, now)
     ):
         if not waiting:
             break
-        count = _isolated_slots(candidate.worker, step, counts, free_capacity)
+        count = _isolated_slots(candidate.worker, step, task_counts, free_capacity)
         if count > 0:
             free_capacity.take_all(candidate.worker)
-            chosen += [(candidate, task) for task in waiting[:count]]
+            placed += [(candidate, task) for task in waiting[:count]]
             waiting = [] if one_worker_at_a_time else waiting[count:]
-    return chosen
+    return placed
 
 
 def _isolated_slots(
-    worker: Worker, step: StepProgress, counts: dict[str, int], free_capacity: ScratchRoom
+    worker: Worker, step: StepProgress, task_counts: dict[str, int], free_capacity: ScratchRoom
 ) -> int:
     slots = free_capacity.slots(worker, step.needs)
     limit = step.spec.spread_limit
-    return min(slots, limit - counts.get(worker.worker_id, 0)) if limit else slots
+    return min(slots, limit - task_counts.get(worker.worker_id, 0)) if limit else slots
 
 
 def _isolation_cost(
--- a/src/onyxspoke/core/placement/spreading.py
+++ b/src/onyxspoke/core/placement/spreading.py
@@ -57,17 +57,21 @@
     step_is_on_trial = is_on_trial(step)
     waiting = [task for task in startable if not needs_isolation(task, step_is_on_trial)]
     suspects = [task for task in startable if needs_isolation(task, step_is_on_trial)]
-    counts = counts_on_workers(step)
+    task_counts = counts_on_workers(step)
     zones = {task.run.worker.record.zone for task in step.tasks if task.run is not None}
     remaining = list(candidates)
-    chooser = pace_chooser(step, (item.worker for item in candidates), minds_speed, now)
+    chooser = pace_chooser(
+        step, (candidate_worker.worker for candidate_worker in candidates), minds_speed, now
+    )
     placements: list[Placement] = []
     while waiting and remaining:
         best: Candidate | None = None
         best_score: tuple[int, ...] | None = None
         best_tasks: list[TaskProgress] = []
         for candidate in remaining:
-            tasks = _assignable_tasks(candidate.worker, step, waiting, counts, free_capacity, now)
+            tasks = _assignable_tasks(
+                candidate.worker, step, waiting, task_counts, free_capacity, now
+            )
             if not tasks:
                 continue
             pace = ALIKE if chooser is None else chooser.terms(candidate.worker)
@@ -81,10 +85,12 @@
         free_capacity.take(best.worker, step.needs, len(best_tasks))
         placements += [Placement(task, best.worker, best.ticket) for task in best_tasks]
         zones.add(best.worker.record.zone)
-        chosen = {task.index for task in best_tasks}
-        waiting = [task for task in waiting if task.index not in chosen]
+        placed_indices = {task.index for task in best_tasks}
+        waiting = [task for task in waiting if task.index not in placed_indices]
         remaining = [candidate for candidate in remaining if candidate is not best]
-    for candidate, task in place_isolated(step, suspects, remaining, counts, free_capacity, now):
+    for candidate, task in place_isolated(
+        step, suspects, remaining, task_counts, free_capacity, now
+    ):
         placements.append(Placement(task, candidate.worker, candidate.ticket))
     return StepPlacement(step, placements) if placements else None
 
@@ -93,14 +99,14 @@
     worker: Worker,
     step: StepProgress,
     waiting: list[TaskProgress],
-    counts: dict[str, int],
+    task_counts: dict[str, int],
     free_capacity: ScratchRoom,
     now: float,
 ) -> list[TaskProgress]:
     """Return the tasks that a worker would get; tasks that last failed there are avoided."""
     limit = min(free_capacity.slots(worker, step.needs), len(waiting))
     if step.spec.spread_limit:
-        limit = min(limit, step.spec.spread_limit - counts.get(worker.worker_id, 0))
+        limit = min(limit, step.spec.spread_limit - task_counts.get(worker.worker_id, 0))
     if worker.health.is_on_trial(now):
         limit = min(limit, 1)
     if limit <= 0:
@@ -153,10 +159,10 @@
 
     The result is empty if the step has no spread limit.
     """
-    counts: dict[str, int] = {}
+    task_counts: dict[str, int] = {}
     if step.spec.spread_limit:
         for task in step.tasks:
             if task.run is not None:
                 worker_id = task.run.worker.worker_id
-                counts[worker_id] = counts.get(worker_id, 0) + 1
-    return counts
+                task_counts[worker_id] = task_counts.get(worker_id, 0) + 1
+    return task_counts
