--- a/features/steps/advice_cell.py
+++ b/features/steps/advice_cell.py
@@ -12,8 +12,8 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.jobs.states import JobState, RunState, TaskState
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_line import AdviceCall
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_queue import AdviceCall
 from onyxspoke.core.placement.placer import Placer
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerRecord
@@ -75,15 +75,15 @@
         job_kinds: dict[str, JobKind] = SMALL_WORKER_JOBS,
         capacity: Needs = SMALL_WORKER,
         validity_ms: float = 1_500.0,
-        has_shares: bool = False,
+        uses_fair_shares: bool = False,
     ) -> None:
         self.job_kinds = job_kinds
         self.validity_ms = validity_ms
         self.now = 100.0
         self.random = random.Random(workers)
         self.table = WorkerTable()
-        self.desk = AdviceDesk(0, has_shares)
-        self.placer = Placer(self.table, self.desk, stop_seconds=0.9)
+        self.advice_dispatcher = AdviceDispatcher(0, uses_fair_shares)
+        self.placer = Placer(self.table, self.advice_dispatcher, stop_seconds=0.9)
         self.steps: dict[str, StepProgress] = {}
         self.submissions: dict[str, list[tuple[str, float]]] = {}
         self.first_start_at: dict[str, float] = {}
@@ -101,7 +101,7 @@
         self.entries = [f"entry-{number:02}" for number in range(entries)]
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
-        self.desk.set_advisors(self.entries, self.now)
+        self.advice_dispatcher.set_advice_entries(self.entries, self.now)
         for number in range(workers):
             record = WorkerRecord(
                 worker_id=f"w{number:03}",
@@ -112,7 +112,7 @@
                 capacity=capacity,
             )
             worker = Worker(record, 0.0)
-            worker.move_to(WorkerContact.SETTLED)
+            worker.move_to(WorkerContact.RECONCILED)
             worker.is_recorded = True
             self.table.workers[record.worker_id] = worker
 
@@ -120,7 +120,7 @@
         self._count += 1
         heapq.heappush(self._events, (self.now + seconds, self._count, function))
 
-    def submit_job(self, kind: str, is_beyond_share: bool = False) -> StepProgress:
+    def submit_job(self, kind: str, is_over_share: bool = False) -> StepProgress:
         job_kind = self.job_kinds[kind]
         queue = QueuePolicy(
             name=kind,
@@ -137,10 +137,10 @@
             estimated_ms=int(job_kind.seconds * 1_000),
             gang=kind == "gang",
         )
-        submitter = f"flood {kind}" if is_beyond_share else kind
+        submitter = f"flood {kind}" if is_over_share else kind
         name = f"{submitter}-{len(self.submissions.setdefault(submitter, []))}"
         job_spec = JobSpec(
-            job_id=name, queue=queue, payload="", steps=(spec,), is_beyond_share=is_beyond_share
+            job_id=name, queue=queue, payload="", steps=(spec,), is_over_share=is_over_share
         )
         job = JobProgress(job_spec, self.now)
         job.committed_state = JobState.QUEUED
@@ -154,13 +154,13 @@
         jobs_per_second: float,
         delay_seconds: float,
         seconds: float,
-        is_beyond_share: bool = False,
+        is_over_share: bool = False,
     ) -> None:
         """Submit jobs of a kind at a constant rate, beginning after a delay."""
         for number in range(int(jobs_per_second * seconds)):
             self.schedule(
                 delay_seconds + number / jobs_per_second,
-                lambda: self.submit_job(kind, is_beyond_share),
+                lambda: self.submit_job(kind, is_over_share),
             )
 
     def disconnect_entries(self, count: int, delay_seconds: float, seconds: float) -> None:
@@ -182,7 +182,7 @@
 
     def _make_pass(self) -> None:
         waiting = [step for step in self.steps.values() if step.waiting]
-        for key in self.desk.take_due_retries(self.now):
+        for key in self.advice_dispatcher.take_due_retries(self.now):
             self.placer.reconsider(key)
         quotas = no_quotas()
         for plan in self.placer.plan(waiting, PolicySet(), quotas, self.now):
@@ -190,7 +190,7 @@
             self.first_start_at.setdefault(name, self.now)
             for placement in plan.placements:
                 self._start(plan.step, placement.task.index, placement.worker)
-        for call in self.desk.dispatch(self.now):
+        for call in self.advice_dispatcher.dispatch(self.now):
             self._answer_call(call)
 
     def _start(self, step: StepProgress, index: int, worker: Worker) -> None:
@@ -208,7 +208,7 @@
             worker.remove(run)
             task.run = None
             task.move_to(TaskState.DONE)
-            self.table.note_gain(worker)
+            self.table.note_capacity_gain(worker)
             if step.is_done:
                 self.completed_at[step.job.job_id] = self.now
 
@@ -218,26 +218,26 @@
         """Schedule the answer to a call after the answers to the entry's earlier calls."""
         kind = call.queue
         self.calls.append(call)
-        self.sent_calls.append((self.now, call.step.name, call.worker_ids, call.advisor))
-        self.entries_by_queue.setdefault(kind, set()).add(call.advisor)
-        if self.now < self.disconnected_until.get(call.advisor, 0.0):
+        self.sent_calls.append((self.now, call.step.name, call.worker_ids, call.entry_name))
+        self.entries_by_queue.setdefault(kind, set()).add(call.entry_name)
+        if self.now < self.disconnected_until.get(call.entry_name, 0.0):
             return
-        starts_at = max(self.busy_until.get(call.advisor, 0.0), self.now)
-        self.busy_until[call.advisor] = ends_at = starts_at + call.seconds * self.slowdown.get(
-            call.advisor, 1.0
+        starts_at = max(self.busy_until.get(call.entry_name, 0.0), self.now)
+        self.busy_until[call.entry_name] = ends_at = starts_at + call.seconds * self.slowdown.get(
+            call.entry_name, 1.0
         )
         approved_names = [
             name for name in call.worker_ids if self.is_approved(call.step, name, kind)
         ]
         tickets = [Ticket(name, "leave") for name in approved_names]
-        call_id, job_id, advisor = call.call_id, call.step.job_id, call.advisor
+        call_id, job_id, entry_name = call.call_id, call.step.job_id, call.entry_name
         result = AdviceResult(AdviceOutcome.ANSWERED, tickets, self.validity_ms)
 
         def answer() -> None:
-            if self.now < self.disconnected_until.get(advisor, 0.0):
+            if self.now < self.disconnected_until.get(entry_name, 0.0):
                 return
             self.first_answer_at.setdefault(job_id, self.now)
-            step = self.desk.handle_result(call_id, result, self.now)
+            step = self.advice_dispatcher.handle_result(call_id, result, self.now)
             if step is not None:
                 self.placer.reconsider(step)
 
--- a/features/steps/advice_failure_steps.py
+++ b/features/steps/advice_failure_steps.py
@@ -14,10 +14,10 @@
 
 from onyxspoke.core.estimates.work import WorkModel
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import call_length
-from onyxspoke.core.placement.queue_order import StepRank, step_rank_of
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_queue import AdviceCall
+from onyxspoke.core.placement.entry_partition import call_length
+from onyxspoke.core.placement.queue_order import StepRank, step_rank_in_queue
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
 
 START_SECONDS = 100.0
@@ -40,10 +40,10 @@
 class _DispatcherHarness:
     """A dispatcher, the steps that request its advice, and simulated answers of its entries."""
 
-    def __init__(self, entries: int, has_shares: bool) -> None:
+    def __init__(self, entries: int, uses_fair_shares: bool) -> None:
         self.now = START_SECONDS
-        self.dispatcher = AdviceDesk(0, has_shares)
-        self.dispatcher.set_advisors(_ENTRIES[:entries], self.now)
+        self.dispatcher = AdviceDispatcher(0, uses_fair_shares)
+        self.dispatcher.set_advice_entries(_ENTRIES[:entries], self.now)
         self.cell = SimulatedCell(1, 1, LARGE_WORKER_JOBS)
         self.in_flight: list[AdviceCall] = []
         self.sent_calls: list[tuple[int, str]] = []
@@ -59,19 +59,19 @@
         policy = step.job.spec.queue.advice
         assert policy is not None
         names = [f"w{number}" for number in range(workers)]
-        self.dispatcher.want(step, policy, names, self.rank_of(step), self.now)
+        self.dispatcher.request_advice(step, policy, names, self.rank_of(step), self.now)
         return policy.call_seconds(workers)
 
     def rank_of(self, step: StepProgress) -> StepRank:
-        return step_rank_of(step, step.job.spec.queue, self.now)
+        return step_rank_in_queue(step, step.job.spec.queue, self.now)
 
     def run_pass(self, seconds: float) -> list[AdviceCall]:
         self.now += seconds
         started = self.dispatcher.dispatch(self.now)
         self.in_flight += started
         self.dispatched_calls += started
-        self.sent_calls += [(call.call_id, call.advisor) for call in started]
-        self.log_events += self.dispatcher.take_notices(self.now)
+        self.sent_calls += [(call.call_id, call.entry_name) for call in started]
+        self.log_events += self.dispatcher.take_log_events(self.now)
         return started
 
     def answer(self, call: AdviceCall, call_id: int, outcome: AdviceOutcome) -> None:
@@ -79,7 +79,7 @@
         result = AdviceResult(outcome, tickets, 2_000.0)
         if self.dispatcher.handle_result(call_id, result, self.now) is not None:
             self.answered_at.setdefault(call.step.job_id, self.now)
-        self.log_events += self.dispatcher.take_notices(self.now)
+        self.log_events += self.dispatcher.take_log_events(self.now)
 
     def run(self, seconds: float, failing_entry: str = "", outcome: str = "") -> None:
         """Simulate the answers of all entries, except one that is silent or reports an outcome."""
@@ -88,14 +88,16 @@
         end = self.now + seconds
         while self.now < end:
             for call in self.run_pass(0.02):
-                if call.advisor == failing_entry and not outcome:
+                if call.entry_name == failing_entry and not outcome:
                     continue
-                free_at[call.advisor] = max(free_at.get(call.advisor, 0.0), self.now) + call.seconds
-                is_busy = call.advisor == failing_entry
-                due.append((self.now if is_busy else free_at[call.advisor], call.call_id, call))
+                free_at[call.entry_name] = (
+                    max(free_at.get(call.entry_name, 0.0), self.now) + call.seconds
+                )
+                is_busy = call.entry_name == failing_entry
+                due.append((self.now if is_busy else free_at[call.entry_name], call.call_id, call))
             for item in [item for item in due if item[0] <= self.now]:
                 due.remove(item)
-                is_busy = item[2].advisor == failing_entry
+                is_busy = item[2].entry_name == failing_entry
                 self.answer(item[2], item[1], AdviceOutcome(outcome if is_busy else "answered"))
 
 
@@ -124,13 +126,15 @@
     @for_all(_operation_lists)
     def run_sequence(operations: list[Any]) -> None:
         harness, reference = _DispatcherHarness(6, False), naive_advice.NaiveDispatcher()
-        reference.set_advisors(_ENTRIES, harness.now)
+        reference.set_advice_entries(_ENTRIES, harness.now)
         steps = [step for step in _submit_steps(harness) if not step.spec.gang] * 2
         for operation, *values in operations:
             if operation == "want":
                 step = steps[values[0]]
                 rank = harness.rank_of(step)
-                reference.want(step.key, harness.request_advice(step, values[1]), rank, harness.now)
+                reference.request_advice(
+                    step.key, harness.request_advice(step, values[1]), rank, harness.now
+                )
             elif operation == "pass":
                 sent_count = len(harness.sent_calls)
                 harness.run_pass(values[0])
@@ -138,8 +142,8 @@
                 context.compared += len(harness.sent_calls) - sent_count
             elif operation == "advisors":
                 names = _ENTRIES[: values[0]] if values[1] else _ENTRIES[-values[0] :]
-                harness.dispatcher.set_advisors(names, harness.now)
-                reference.set_advisors(names, harness.now)
+                harness.dispatcher.set_advice_entries(names, harness.now)
+                reference.set_advice_entries(names, harness.now)
             elif operation in ("answer", "fail") and harness.in_flight:
                 call = harness.in_flight.pop(values[0] % len(harness.in_flight))
                 is_answer = operation == "answer"
@@ -159,13 +163,13 @@
 def _check_pass(harness: _DispatcherHarness, started: list[AdviceCall]) -> None:
     in_flight = list(harness.dispatcher._in_flight.values())
     for name in _ENTRIES:
-        assert sum(call.advisor == name for call in in_flight) <= 2
+        assert sum(call.entry_name == name for call in in_flight) <= 2
     for call in started:
         assert call.progress.waiting, call
         assert call.progress.over_quota_since is None
         for other in harness.dispatcher._queue:
             has_same_length = call_length(other.seconds) is call_length(call.seconds)
-            if has_same_length and other.seconds >= call.seconds and other.rank.is_owed:
+            if has_same_length and other.seconds >= call.seconds and other.rank.is_entitled:
                 assert (call.rank, call.number) < (other.rank, other.number)
     for key, advice in harness.dispatcher._steps.items():
         numbers = [
@@ -194,14 +198,16 @@
                 context.checked += len(started)
             elif operation == "advisors":
                 names = _ENTRIES[: values[0]] if values[1] else _ENTRIES[-values[0] :]
-                harness.dispatcher.set_advisors(names, harness.now)
+                harness.dispatcher.set_advice_entries(names, harness.now)
             elif operation == "placed":
                 _mark_placed(steps[values[0]])
             elif harness.in_flight:
                 call = harness.in_flight.pop(values[0] % len(harness.in_flight))
                 outcome = AdviceOutcome("answered" if operation == "answer" else "busy")
                 harness.answer(call, call.call_id, outcome)
-        entitled_steps = [call.progress for call in harness.dispatcher._queue if call.rank.is_owed]
+        entitled_steps = [
+            call.progress for call in harness.dispatcher._queue if call.rank.is_entitled
+        ]
         harness.answered_at.clear()
         harness.run(20.0)
         for step in entitled_steps:
@@ -240,19 +246,21 @@
     harness.request_advice(context.step, 25)
     [context.call] = harness.run_pass(0.0)
     context.call_id = context.call.call_id
-    assert context.call.advisor == _ENTRIES[0]
+    assert context.call.entry_name == _ENTRIES[0]
 
 
 @when("entry {entry_number:d} is removed")
 def _remove_entry(context: Any, entry_number: int) -> None:
     harness = context.harness
     name = _ENTRIES[entry_number - 1]
-    context.moved_steps = [call.step for call in harness.in_flight if call.advisor == name]
+    context.moved_steps = [call.step for call in harness.in_flight if call.entry_name == name]
     context.entitled_load = harness.dispatcher._entries.partition.entitled_load(
         call_length(0.2), harness.now
     )
-    harness.dispatcher.set_advisors([entry for entry in _ENTRIES[:4] if entry != name], harness.now)
-    assert harness.dispatcher.has_moved_calls
+    harness.dispatcher.set_advice_entries(
+        [entry for entry in _ENTRIES[:4] if entry != name], harness.now
+    )
+    assert harness.dispatcher.has_requeued_calls
 
 
 @then("the calls that it carried are made next, at once, and do not count twice towards the load")
@@ -274,17 +282,17 @@
 def _answer_late(context: Any, late: float) -> None:
     harness = context.harness
     harness.now += context.call.seconds + late
-    harness.dispatcher.set_advisors([], harness.now - 0.01)
-    harness.dispatcher.set_advisors(_ENTRIES[:4], harness.now - 0.01)
+    harness.dispatcher.set_advice_entries([], harness.now - 0.01)
+    harness.dispatcher.set_advice_entries(_ENTRIES[:4], harness.now - 0.01)
     harness.answer(context.call, context.call_id, AdviceOutcome.ANSWERED)
 
 
 @then("the step has its tickets, and no further call is made")
 def _check_tickets_stored(context: Any) -> None:
     harness = context.harness
-    advice = harness.dispatcher.advice_on(context.step)
+    advice = harness.dispatcher.advice_for(context.step)
     assert advice.tickets
-    assert not advice.is_asking
+    assert not advice.has_open_calls
     assert harness.run_pass(0.02) == []
 
 
@@ -294,7 +302,7 @@
     step = harness.submit_step("urgent")
     harness.request_advice(step, 25)
     [call] = harness.run_pass(0.0)
-    call_id, name = call.call_id, call.advisor
+    call_id, name = call.call_id, call.entry_name
     harness.run_pass(0.98)
     harness.run_pass(0.02)
     harness.answer(call, call_id, AdviceOutcome.ANSWERED)
@@ -437,7 +445,7 @@
 @then("the step's newest call is still in flight, and no further call is made")
 def _check_last_call_stands(context: Any) -> None:
     harness = context.harness
-    assert harness.dispatcher.advice_on(context.step).is_asking
+    assert harness.dispatcher.advice_for(context.step).has_open_calls
     harness.request_advice(context.step, 25)
     harness.run_pass(0.02)
     assert harness.dispatcher._last_call_id == context.call_id
--- a/features/steps/advice_full_cell_steps.py
+++ b/features/steps/advice_full_cell_steps.py
@@ -11,7 +11,7 @@
 @given("a full cell of {workers:d} large workers with fair shares")
 def _full_cell(context: Any, workers: int) -> None:
     context.cell = cell = SimulatedCell(
-        workers, 4, LARGE_WORKER_JOBS, LARGE_WORKER, 2_000.0, has_shares=True
+        workers, 4, LARGE_WORKER_JOBS, LARGE_WORKER, 2_000.0, uses_fair_shares=True
     )
     for _number in range(workers):
         cell.submit_job("patient")
@@ -23,11 +23,9 @@
 )
 def _submit_flood_and_entitled_job(context: Any, flood: int, entitled: int) -> None:
     cell = context.cell
-    context.flood = [
-        cell.submit_job("patient", is_beyond_share=True).job for _number in range(flood)
-    ]
+    context.flood = [cell.submit_job("patient", is_over_share=True).job for _number in range(flood)]
     [context.entitled] = [cell.submit_job("patient").job for _number in range(entitled)]
-    cell.desk.take_notices(cell.now)
+    cell.advice_dispatcher.take_log_events(cell.now)
     cell.run(0.3)
 
 
@@ -37,7 +35,9 @@
     called_job_ids = {call.step.job_id for call in cell.calls}
     assert not called_job_ids & {job.job_id for job in context.flood}
     deferrals = [
-        item for item in cell.desk.take_notices(cell.now) if item.event == "advice_put_off"
+        item
+        for item in cell.advice_dispatcher.take_log_events(cell.now)
+        if item.event == "advice_put_off"
     ]
     deferred_job_ids = {str(item.fields["step"]).partition(".")[0] for item in deferrals}
     assert {job.job_id for job in context.flood} <= deferred_job_ids, deferred_job_ids
@@ -75,7 +75,7 @@
 def _submit_to_both_cells(context: Any, count: int) -> None:
     for cell, flood in zip(context.cells, (count, 0), strict=True):
         for _number in range(flood):
-            cell.submit_job("patient", is_beyond_share=True)
+            cell.submit_job("patient", is_over_share=True)
         context.entitled = cell.submit_job("patient").job
         cell.run(30.0)
 
--- a/features/steps/advice_line_steps.py
+++ b/features/steps/advice_line_steps.py
@@ -8,7 +8,7 @@
 from advice_cell import LARGE_WORKER, LARGE_WORKER_JOBS, JobKind, SimulatedCell
 from behave import given, then, when
 
-from onyxspoke.core.placement.advice_choice import AdviceChooser
+from onyxspoke.core.placement.advice_targets import AdviceTargetSelector
 
 NEARLY_ALL_SHARE = 0.95
 #: Jobs per second of the usual load of a cell of large workers.
@@ -23,8 +23,8 @@
     context.cell = SimulatedCell(workers, entries)
 
 
-def _first_by_name(chooser: AdviceChooser, _most: int, advice: Any) -> list[str]:
-    return sorted(worker.worker_id for worker in chooser._unqueried_workers(advice))[:100]
+def _first_by_name(selector: AdviceTargetSelector, _most: int, advice: Any) -> list[str]:
+    return sorted(worker.worker_id for worker in selector._unqueried_workers(advice))[:100]
 
 
 @when(
@@ -44,7 +44,7 @@
     " seconds, and calls name the first hundred workers by name"
 )
 def _run_mixed_load_by_name(context: Any, gangs: int, steps: int, kind: str, seconds: int) -> None:
-    with mock.patch.object(AdviceChooser, "unknown", _first_by_name):
+    with mock.patch.object(AdviceTargetSelector, "first_targets", _first_by_name):
         _run_mixed_load(context, gangs, steps, kind, seconds)
 
 
@@ -76,8 +76,8 @@
 )
 def _make_cells(context: Any, workers: int, entries: int) -> None:
     context.unshared_cell, context.cell = (
-        SimulatedCell(workers, entries, LARGE_WORKER_JOBS, LARGE_WORKER, 2_000.0, has_shares)
-        for has_shares in (False, True)
+        SimulatedCell(workers, entries, LARGE_WORKER_JOBS, LARGE_WORKER, 2_000.0, uses_fair_shares)
+        for uses_fair_shares in (False, True)
     )
 
 
@@ -101,7 +101,7 @@
         for kind, rate in USUAL_JOBS_PER_SECOND.items():
             cell.submit_evenly(kind, rate, 0.0, float(seconds))
             cell.submit_evenly(
-                kind, rate, float(from_second), float(seconds - from_second), is_beyond_share=True
+                kind, rate, float(from_second), float(seconds - from_second), is_over_share=True
             )
         cell.run(seconds + DRAIN_SECONDS)
 
@@ -206,7 +206,7 @@
             cell.submit_evenly(kind, rate, 0.0, float(seconds))
             for flood_start in (2.0, 4.0):
                 cell.submit_evenly(
-                    kind, rate, flood_start, seconds - flood_start, is_beyond_share=True
+                    kind, rate, flood_start, seconds - flood_start, is_over_share=True
                 )
         cell.run(seconds + DRAIN_SECONDS)
 
@@ -229,16 +229,16 @@
 def _run_and_forecast(context: Any, urgent: int, patient: int, gang: int, seconds: int) -> None:
     cell = context.cell
     forecasts: dict[Any, tuple[float, float]] = {}
-    want = cell.desk.want
+    request_advice = cell.advice_dispatcher.request_advice
 
     def record_forecast(step: Any, policy: Any, workers: Any, rank: Any, now: float) -> None:
         if step.key not in forecasts:
             count = min(len(workers), GANG_WORKERS_PER_CALL)
-            wait = cell.desk.wait_seconds(policy.call_seconds(count), rank, now)
+            wait = cell.advice_dispatcher.wait_seconds(policy.call_seconds(count), rank, now)
             forecasts[step.key] = (wait, now)
-        want(step, policy, workers, rank, now)
+        request_advice(step, policy, workers, rank, now)
 
-    with mock.patch.object(cell.desk, "want", record_forecast):
+    with mock.patch.object(cell.advice_dispatcher, "request_advice", record_forecast):
         for kind, rate in (("urgent", urgent), ("patient", patient), ("gang", gang)):
             cell.submit_evenly(kind, float(rate), 0.0, float(seconds))
         cell.run(seconds + DRAIN_SECONDS)
--- a/features/steps/naive_advice.py
+++ b/features/steps/naive_advice.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxspoke.core.placement.advice_places import MAXIMUM_SHORT_CALL_SECONDS, AdvicePlaces
+from onyxspoke.core.placement.entry_partition import MAXIMUM_SHORT_CALL_SECONDS, EntryPartition
 
 
 @dataclass
@@ -32,11 +32,11 @@
         self.in_flight: list[_Call] = []
         self.open_call_counts: dict[Any, int] = {}
         self.retry_at: dict[Any, float] = {}
-        self.places = AdvicePlaces()
+        self.places = EntryPartition()
         self.slowness = 1.0
         self.last_number = 0
 
-    def set_advisors(self, entry_names: list[str], now: float) -> None:
+    def set_advice_entries(self, entry_names: list[str], now: float) -> None:
         removed_names = set(self.entry_names) - set(entry_names)
         self.entry_names = entry_names
         for name in removed_names:
@@ -45,7 +45,7 @@
         for call in [call for call in self.in_flight if call.entry not in entry_names]:
             self.give_up(call, now)
 
-    def want(self, step: Any, seconds: float, rank: Any, now: float) -> None:
+    def request_advice(self, step: Any, seconds: float, rank: Any, now: float) -> None:
         if self.open_call_counts.get(step, 0) > 0 or now < self.retry_at.get(step, 0.0):
             return
         self.last_number += 1
--- a/src/onyxspoke/core/placement/advice_desk.py
+++ b/src/onyxspoke/core/placement/advice_dispatcher.py
@@ -1,7 +1,7 @@
 """Dispatches calls to the advice service, and keeps its answers for each step.
 
 The advice service decides which workers may run a step.  It handles one call per entry at a time,
-so calls are spread over the entries; ``advice_places`` decides which entry carries which call.
+so calls are spread over the entries; ``entry_partition`` decides which entry carries which call.
 """
 
 from __future__ import annotations
@@ -11,16 +11,16 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, StepKey, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import split_into_calls
 from onyxspoke.core.placement.advice_entries import AdviceEntryPool
 from onyxspoke.core.placement.advice_forecast import QueueForecast
-from onyxspoke.core.placement.advice_line import AdviceCall, AdviceLine
-from onyxspoke.core.placement.advice_notices import (
+from onyxspoke.core.placement.advice_log_events import (
     AdviceLogEvent,
     entry_recovered,
     entry_suspected,
     step_deferred,
 )
+from onyxspoke.core.placement.advice_queue import AdviceCall, AdviceQueue
+from onyxspoke.core.placement.advice_targets import split_into_calls
 from onyxspoke.core.placement.queue_order import StepRank
 from onyxspoke.core.placement.step_advice import ApprovalRate, StepAdvice, record_answer
 from onyxspoke.core.shard.log_records import ShardId
@@ -35,24 +35,24 @@
 STALL_THRESHOLD_SECONDS = 0.1
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Keeps the advice on each step and dispatches calls through the entries.
 
     Parameters
     ----------
     shard : int
         The shard whose holder makes the calls; holders of other shards use the same entries.
-    has_shares : bool
+    uses_fair_shares : bool
         Whether tenants share the entries fairly.  If so, steps that are not entitled use only the
         entries that entitled steps leave free, calls that are no longer needed are dropped, and the
         calls of an entry that does not answer are moved to other entries at once.
     """
 
-    def __init__(self, shard: ShardId = 0, has_shares: bool = False) -> None:
-        self.has_shares = has_shares
+    def __init__(self, shard: ShardId = 0, uses_fair_shares: bool = False) -> None:
+        self.uses_fair_shares = uses_fair_shares
         self._steps: dict[StepKey, StepAdvice] = {}
-        self._entries = AdviceEntryPool(shard, has_shares)
-        self._queue = AdviceLine(has_shares)
+        self._entries = AdviceEntryPool(shard, uses_fair_shares)
+        self._queue = AdviceQueue(uses_fair_shares)
         self._in_flight: dict[int, AdviceCall] = {}
         #: Calls that timed out or failed, by call id; their answers may still arrive.
         self._abandoned: dict[int, AdviceCall] = {}
@@ -66,16 +66,16 @@
         self._last_pass_at = math.inf
         self._skipped_timeouts = False
         #: Whether calls were put back into the queue since the last pass.
-        self.has_moved_calls = False
+        self.has_requeued_calls = False
 
-    def set_advisors(self, names: list[str], now: float) -> None:
+    def set_advice_entries(self, names: list[str], now: float) -> None:
         """Replace the entries that carry calls, the holder first; calls of removed entries fail."""
         self._entries.set_entries(names)
         for call in list(self._in_flight.values()):
-            if self._entries.find(call.advisor) is None:
+            if self._entries.find(call.entry_name) is None:
                 self._abandon(call, now, "gone")
 
-    def advice_on(self, step: StepProgress) -> StepAdvice:
+    def advice_for(self, step: StepProgress) -> StepAdvice:
         """Return the advice on a step; add an empty record if there is none."""
         advice = self._steps.get(step.key)
         if advice is None:
@@ -86,12 +86,12 @@
         """Return the advice on a step, or ``None`` if there is no record of the step."""
         return self._steps.get(key)
 
-    def workers_asked(self, key: StepKey) -> set[WorkerId]:
+    def queried_worker_ids(self, key: StepKey) -> set[WorkerId]:
         """Return the workers that the received answers on a step cover."""
         advice = self._steps.get(key)
-        return set() if advice is None else advice.asked
+        return set() if advice is None else advice.queried_workers
 
-    def good_share(self, queue: str) -> float:
+    def approval_rate(self, queue: str) -> float:
         """Return the share of workers that the service has approved for a queue's steps."""
         return self._approval_rates.get(queue, ApprovalRate()).value
 
@@ -100,7 +100,7 @@
         self._steps.pop(key, None)
         self._queue.remove_step(key)
 
-    def want(
+    def request_advice(
         self,
         step: StepProgress,
         policy: AdvicePolicy,
@@ -109,8 +109,8 @@
         now: float,
     ) -> None:
         """Queue calls about a step, unless the step has open calls; the lowest rank goes first."""
-        advice = self.advice_on(step)
-        if advice.is_asking or now < advice.retry_at or not worker_ids:
+        advice = self.advice_for(step)
+        if advice.has_open_calls or now < advice.retry_at or not worker_ids:
             return
         for named_workers in split_into_calls(step, policy, worker_ids):
             seconds = policy.call_seconds(len(named_workers))
@@ -120,7 +120,7 @@
             call = AdviceCall(number, step, queue, named_workers, seconds, rank, now, number)
             advice.open_calls.add(number)
             self._entries.partition.record_call(seconds, now)
-            if rank.is_owed:
+            if rank.is_entitled:
                 self._entries.partition.record_entitled_call(seconds, now)
             self._queue.add(call, now)
 
@@ -132,7 +132,7 @@
                     self._abandon(call, now, "overdue")
         self._forget_abandoned(now)
         self._entries.begin_pass(now)
-        if self.has_shares:
+        if self.uses_fair_shares:
             self._drop_unneeded(now)
         dispatched, still_queued = [], []
         for call in self._queue.by_rank():
@@ -145,7 +145,7 @@
             self._in_flight[call.call_id] = call
             dispatched.append(call)
         self._forecast = QueueForecast(still_queued, self._entries, now)
-        self.has_moved_calls = False
+        self.has_requeued_calls = False
         return dispatched
 
     def handle_result(self, call_id: int, result: AdviceResult, now: float) -> StepKey | None:
@@ -170,10 +170,10 @@
             return 0.0
         return self._forecast.wait_seconds(call_seconds, rank, now)
 
-    def take_notices(self, now: float) -> list[AdviceLogEvent]:
+    def take_log_events(self, now: float) -> list[AdviceLogEvent]:
         """Return the log events since the last call of this method."""
         log_events, self._log_events = self._log_events, []
-        if self.has_shares:
+        if self.uses_fair_shares:
             log_events += [
                 AdviceLogEvent("advice_line", fields) for fields in self._queue.report_if_long(now)
             ]
@@ -193,7 +193,7 @@
         """
         for advice in self._steps.values():
             advice.tickets.pop(worker_id, None)
-            advice.asked.discard(worker_id)
+            advice.queried_workers.discard(worker_id)
 
     def drop_ticket(self, step: StepKey, worker_id: WorkerId) -> None:
         """Invalidate a ticket that its worker has refused."""
@@ -209,7 +209,7 @@
         The steps before it need all of the expected free capacity.  Both amounts are in thousandths
         of a processor.
         """
-        advice = self.advice_on(step)
+        advice = self.advice_for(step)
         if not advice.deferral_logged:
             advice.deferral_logged = True
             self._log_events.append(step_deferred(step.key, queued_before_milli, capacity_milli))
@@ -221,7 +221,7 @@
         """
         seconds_since_pass, self._last_pass_at = now - self._last_pass_at, now
         self._skipped_timeouts = (
-            self.has_shares
+            self.uses_fair_shares
             and seconds_since_pass > STALL_THRESHOLD_SECONDS
             and not self._skipped_timeouts
         )
@@ -241,7 +241,7 @@
         call = self._abandoned.pop(call_id, None)
         if call is None or result.outcome is not AdviceOutcome.ANSWERED:
             return None
-        if self.has_shares:
+        if self.uses_fair_shares:
             self._entries.record_slowness(call, now)
             self._note_recovery(call, now)
             if self._queue.remove(call.number) is not None:
@@ -274,15 +274,15 @@
         With fair shares, all calls of that entry are put back into the queue at once.  Without
         them, the step of this call requests advice again after a delay.
         """
-        entry = self._entries.find(call.advisor)
+        entry = self._entries.find(call.entry_name)
         is_newly_suspected = entry is not None and self._entries.suspect(entry, now)
         calls = [call]
-        if self.has_shares and entry is not None:
+        if self.uses_fair_shares and entry is not None:
             calls = list(entry.in_flight.values())
         for abandoned_call in calls:
             self._finish_call(abandoned_call, now)
             self._abandoned[abandoned_call.call_id] = abandoned_call
-            if self.has_shares:
+            if self.uses_fair_shares:
                 self._requeue(abandoned_call, now)
             else:
                 self._schedule_retry(abandoned_call, now)
@@ -306,14 +306,14 @@
             return
         self._last_call_id += 1
         requeued_call = replace(
-            call, call_id=self._last_call_id, previous_tries=call.previous_tries + 1, advisor=""
+            call, call_id=self._last_call_id, previous_tries=call.previous_tries + 1, entry_name=""
         )
         self._queue.add(requeued_call, now)
-        self.has_moved_calls = True
+        self.has_requeued_calls = True
 
     def _note_recovery(self, call: AdviceCall, now: float) -> None:
-        entry = self._entries.find(call.advisor)
-        if not self.has_shares or entry is None or not entry.suspect_count:
+        entry = self._entries.find(call.entry_name)
+        if not self.uses_fair_shares or entry is None or not entry.suspect_count:
             return
         suspect_count = self._entries.clear_suspicion(entry, now)
         self._log_events.append(entry_recovered(entry, suspect_count, now))
--- a/src/onyxspoke/core/placement/advice_entries.py
+++ b/src/onyxspoke/core/placement/advice_entries.py
@@ -11,11 +11,11 @@
 import zlib
 from dataclasses import dataclass, field
 
-from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import (
+from onyxspoke.core.placement.advice_queue import AdviceCall
+from onyxspoke.core.placement.entry_partition import (
     MAXIMUM_SHORT_CALL_SECONDS,
-    AdvicePlaces,
     CallLength,
+    EntryPartition,
     call_length,
 )
 from onyxspoke.core.shard.log_records import ShardId
@@ -91,7 +91,7 @@
 
     def carries_unentitled_call(self) -> bool:
         """Return whether the entry carries a call of a step that is not entitled."""
-        return any(not call.rank.is_owed for call in self.in_flight.values())
+        return any(not call.rank.is_entitled for call in self.in_flight.values())
 
 
 class AdviceEntryPool:
@@ -101,18 +101,18 @@
     ----------
     shard : int
         The shard whose holder makes the calls; holders of other shards use the same entries.
-    has_shares : bool
+    uses_fair_shares : bool
         Whether tenants share the entries fairly.  If so, steps that are not entitled use only the
         entries that entitled steps leave free, and suspected entries carry no calls.
     """
 
-    def __init__(self, shard: ShardId, has_shares: bool) -> None:
+    def __init__(self, shard: ShardId, uses_fair_shares: bool) -> None:
         self._shard = shard
-        self._has_shares = has_shares
+        self._has_shares = uses_fair_shares
         self._by_name: dict[str, AdviceEntry] = {}
         #: The entries that may carry calls in this pass, in order of position.
         self.usable: list[AdviceEntry] = []
-        self.partition = AdvicePlaces()
+        self.partition = EntryPartition()
         #: Duration of the latest answered call, as a multiple of its expected duration.
         self._service_slowness = 1.0
         #: Average lateness of answers, and the mean deviation from that average, in seconds.
@@ -156,12 +156,12 @@
         """Return the entry that takes a call now, or ``None`` if the call has to wait."""
         if not self._has_shares:
             return self._choose_earliest_free(call, now)
-        call_class = (call_length(call.seconds), call.rank.is_owed)
+        call_class = (call_length(call.seconds), call.rank.is_entitled)
         if call.seconds <= self._longest_rejected.get(call_class, -1.0):
             return None
         chosen = (
             self._choose_earliest_free(call, now)
-            if call.rank.is_owed
+            if call.rank.is_entitled
             else self._choose_idle(call, now)
         )
         if chosen is None:
@@ -170,7 +170,7 @@
 
     def start_call(self, call: AdviceCall, entry: AdviceEntry, now: float) -> None:
         """Record that an entry now carries a call."""
-        call.advisor = entry.name
+        call.entry_name = entry.name
         call.started_at = max(entry.free_at, now)
         entry.free_at = call.started_at + self._expected_seconds(call, entry)
         entry.in_flight[call.call_id] = call
@@ -178,7 +178,7 @@
 
     def finish_call(self, call: AdviceCall, now: float) -> None:
         """Record that a call has ended, whether answered or not."""
-        entry = self._by_name.get(call.advisor)
+        entry = self._by_name.get(call.entry_name)
         if entry is None or entry.in_flight.pop(call.call_id, None) is None:
             return
         if not entry.in_flight:
@@ -199,7 +199,7 @@
 
     def record_slowness(self, call: AdviceCall, now: float) -> None:
         """Update the slowness of an entry from an answered call, even if the answer was late."""
-        entry = self._by_name.get(call.advisor)
+        entry = self._by_name.get(call.entry_name)
         if entry is not None:
             ratio = (now - call.started_at) / max(call.seconds, MINIMUM_SLOWNESS_SAMPLE_SECONDS)
             entry.slowness += 0.5 * (min(max(ratio, 1.0), MAXIMUM_ENTRY_SLOWNESS) - entry.slowness)
--- a/src/onyxspoke/core/placement/advice_forecast.py
+++ b/src/onyxspoke/core/placement/advice_forecast.py
@@ -12,8 +12,8 @@
 from itertools import accumulate
 
 from onyxspoke.core.placement.advice_entries import AdviceEntryPool
-from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import CallLength, call_length
+from onyxspoke.core.placement.advice_queue import AdviceCall
+from onyxspoke.core.placement.entry_partition import CallLength, call_length
 from onyxspoke.core.placement.queue_order import StepRank
 
 #: Minimum number of entries that the forecast assumes for steps that are not entitled.
@@ -44,7 +44,7 @@
         reachable = entries.usable[range_start:]
         self._ranks = [call.rank for call in calls]
         self._work_before = list(accumulate((call.seconds for call in calls), initial=0.0))
-        self._entitled_work = self._work_before[sum(call.rank.is_owed for call in calls)]
+        self._entitled_work = self._work_before[sum(call.rank.is_entitled for call in calls)]
         self._free_at = sorted(max(now, entry.free_at) for entry in reachable)
         self._free_at_sums = list(accumulate(self._free_at, initial=0.0))
         #: Seconds of work that the earlier entries can take on before each entry becomes free.
@@ -67,7 +67,7 @@
         if not self._free_at:
             return math.inf
         work_before = self._work_before[bisect_right(self._ranks, rank)]
-        if rank.is_owed:
+        if rank.is_entitled:
             return self._starts_after(work_before)
         entitled_done_at = self._starts_after(self._entitled_work)
         spare_entries = max(self._spare_entries, MINIMUM_SPARE_ENTRIES)
--- a/src/onyxspoke/core/placement/advice_line.py
+++ b/src/onyxspoke/core/placement/advice_queue.py
@@ -8,7 +8,7 @@
 
 from onyxspoke.core.jobs.model import StepKey, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, rank_as_of
+from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, refreshed_rank
 
 #: The state of the queue is logged once per report interval, in seconds, while the oldest call has
 #: waited for at least ``REPORT_WAIT_SECONDS``.
@@ -45,9 +45,9 @@
     worker_ids: tuple[WorkerId, ...]
     seconds: float
     rank: StepRank
-    wanted_at: float
+    requested_at: float
     number: int
-    advisor: str = ""
+    entry_name: str = ""
     started_at: float = 0.0
     overdue_at: float = math.inf
     previous_tries: int = 0
@@ -67,7 +67,7 @@
         return not is_finished and progress.over_quota_since is None
 
 
-class AdviceLine:
+class AdviceQueue:
     """Queued calls by rank; calls of equal rank are made in the order in which they were queued.
 
     Parameters
@@ -122,7 +122,7 @@
 
         The result is empty if the last report is recent.
         """
-        oldest = min((call.wanted_at for call in self._calls.values()), default=now)
+        oldest = min((call.requested_at for call in self._calls.values()), default=now)
         if now - oldest < REPORT_WAIT_SECONDS or now - self._reported_at < REPORT_INTERVAL_SECONDS:
             return []
         self._reported_at = now
@@ -142,7 +142,7 @@
 
 def _update_rank(call: AdviceCall, now: float) -> None:
     """Update the rank of a call to the current time and the current work estimate of its job."""
-    call.rank = rank_as_of(call.rank, call.progress, now)
+    call.rank = refreshed_rank(call.rank, call.progress, now)
     call.rank_valid_until = lateness_changes_at(call.progress, now)
     call.ranked_work_factor = call.progress.job.work.factor
 
@@ -155,7 +155,7 @@
     return {
         "queue": queue,
         "waiting": len(calls),
-        "owed": sum(call.rank.is_owed for call in calls),
+        "owed": sum(call.rank.is_entitled for call in calls),
         "seconds": round(sum(call.seconds for call in calls), _DIGITS),
-        "oldest_s": round(now - min(call.wanted_at for call in calls), _DIGITS),
+        "oldest_s": round(now - min(call.requested_at for call in calls), _DIGITS),
     }
--- a/src/onyxspoke/core/placement/advice_choice.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -13,9 +13,9 @@
 from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import AdvicePolicy, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.offer import Offer, has_label
-from onyxspoke.core.placement.room import ScratchRoom
-from onyxspoke.core.placement.spreading import counts_on_workers
+from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
+from onyxspoke.core.placement.spreading import task_counts_by_worker
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.workers import Worker
 
@@ -28,11 +28,11 @@
 TOTAL_CAPACITY_FACTOR = 4.0
 #: Minimum number of workers in a call, if the service has that many.  The fixed cost of a call
 #: dominates below this size, and a step that waits for capacity needs a choice of workers.
-FEWEST_ASKED = 24
+MINIMUM_WORKERS_PER_CALL = 24
 #: Maximum number of workers in one call; the advice service enforces this limit.
-MAXIMUM_WORKERS_ASKED = 100
+MAXIMUM_WORKERS_PER_CALL = 100
 #: Minimum number of workers in each call when a gang's workers are split over several calls.
-MINIMUM_WORKERS_ASKED = 24
+MINIMUM_WORKERS_PER_SPLIT_CALL = 24
 #: Interval between two calls about new workers, as a multiple of the duration of such a call.  A
 #: waiting step thus occupies an entry for at most a fifth of the time.
 CALL_INTERVAL_FACTOR = 5.0
@@ -40,37 +40,41 @@
 SlotCounter = Callable[[Worker], int]
 
 
-class AdviceChooser:
+class AdviceTargetSelector:
     """Selects the workers to query for one step during one placement pass.
 
     Parameters
     ----------
     step : StepProgress
         The waiting step.
-    offer : Offer
+    schedulable : SchedulableWorkers
         The schedulable workers of the step's service.
-    free_capacity : ScratchRoom
+    free_capacity : ScratchCapacity
         The capacity that the placement pass has left on each worker.
-    good_share : float
+    approval_rate : float
         Expected share of workers that the advice service approves for the step, from 0 to 1.
     """
 
     def __init__(
-        self, step: StepProgress, offer: Offer, free_capacity: ScratchRoom, good_share: float
+        self,
+        step: StepProgress,
+        schedulable: SchedulableWorkers,
+        free_capacity: ScratchCapacity,
+        approval_rate: float,
     ) -> None:
         self._step = step
-        self._schedulable = offer
+        self._schedulable = schedulable
         self._free_capacity = free_capacity
-        self._approval_rate = good_share
+        self._approval_rate = approval_rate
         self._task_limit = step.most_on_a_worker
         #: Number of the step's tasks on each worker; empty unless the step has a spread limit.
-        self._task_counts = counts_on_workers(step)
+        self._task_counts = task_counts_by_worker(step)
 
-    def unknown(self, max_tasks: int, advice: StepAdvice) -> list[WorkerId]:
+    def first_targets(self, max_tasks: int, advice: StepAdvice) -> list[WorkerId]:
         """Return the workers for the first call about a step that may start ``max_tasks`` tasks."""
         workers = self._unqueried_workers(advice)
         wanted_slots = max_tasks * FREE_CAPACITY_FACTOR
-        selected, expected_slots = self._select_until_enough(workers, wanted_slots, self.slots_now)
+        selected, expected_slots = self._select_until_enough(workers, wanted_slots, self.free_slots)
         if expected_slots < wanted_slots:
             # Too little capacity is free for all tasks, so some of them will have to wait.
             wanted_slots = max_tasks * TOTAL_CAPACITY_FACTOR
@@ -79,21 +83,21 @@
             )
         return _worker_ids(selected)
 
-    def unknown_with_room(self, missing_tasks: int, advice: StepAdvice) -> list[WorkerId]:
+    def new_targets_with_capacity(self, missing_tasks: int, advice: StepAdvice) -> list[WorkerId]:
         """Return unqueried workers with enough free capacity for ``missing_tasks`` tasks."""
         workers = [
-            worker for worker in self._unqueried_workers(advice) if self.slots_now(worker) > 0
+            worker for worker in self._unqueried_workers(advice) if self.free_slots(worker) > 0
         ]
         selected, _expected_slots = self._select_until_enough(
-            workers, missing_tasks * FREE_CAPACITY_FACTOR, self.slots_now
+            workers, missing_tasks * FREE_CAPACITY_FACTOR, self.free_slots
         )
         return _worker_ids(selected)
 
-    def all_unknown(self, advice: StepAdvice) -> list[WorkerId]:
+    def all_new_targets(self, advice: StepAdvice) -> list[WorkerId]:
         """Return all workers that have not been queried for the step."""
         return sorted(_worker_ids(self._unqueried_workers(advice)))
 
-    def again(self, missing_tasks: int, advice: StepAdvice, now: float) -> list[WorkerId]:
+    def renewal_targets(self, missing_tasks: int, advice: StepAdvice, now: float) -> list[WorkerId]:
         """Return approved workers whose tickets have expired, enough for ``missing_tasks`` tasks.
 
         Workers without free capacity are left out.
@@ -103,7 +107,7 @@
             worker = self._schedulable.workers.get(worker_id)
             if worker is None or now < ticket.use_before:
                 continue
-            slots = self.slots_now(worker)
+            slots = self.free_slots(worker)
             if slots > 0:
                 worker_ids_to_query.append(worker_id)
                 missing_tasks -= slots
@@ -111,14 +115,17 @@
                     break
         return worker_ids_to_query
 
-    def again_for_long(self, missing_tasks: int, advice: StepAdvice, now: float) -> list[WorkerId]:
-        """Return the workers of ``again``, and approved workers that may gain free capacity soon.
+    def renewal_targets_ahead(
+        self, missing_tasks: int, advice: StepAdvice, now: float
+    ) -> list[WorkerId]:
+        """Return the workers of ``renewal_targets``, and other approved workers.
 
-        The fixed cost dominates a call about a few workers.  So a step that waits for capacity
-        renews the tickets that it may use next in one call per ticket validity, not in one call
-        each time that a worker gains free capacity.
+        The other workers may gain free capacity while the new tickets are valid.  The fixed cost
+        dominates a call about a few workers.  So a step that waits for capacity renews the tickets
+        that it may use next in one call per ticket validity, not each time that a worker gains free
+        capacity.
         """
-        worker_ids_to_query = self.again(missing_tasks, advice, now)
+        worker_ids_to_query = self.renewal_targets(missing_tasks, advice, now)
         if not worker_ids_to_query:
             return worker_ids_to_query
         further_ids = [
@@ -127,14 +134,14 @@
             if now >= ticket.use_before and worker_id in self._schedulable.workers
         ]
         return list(dict.fromkeys(worker_ids_to_query + further_ids))[
-            : max(len(worker_ids_to_query), FEWEST_ASKED)
+            : max(len(worker_ids_to_query), MINIMUM_WORKERS_PER_CALL)
         ]
 
     def _unqueried_workers(self, advice: StepAdvice) -> list[Worker]:
         return [
             worker
             for worker_id, worker in self._schedulable.workers.items()
-            if worker_id not in advice.asked and has_label(worker, self._step)
+            if worker_id not in advice.queried_workers and has_label(worker, self._step)
         ]
 
     def _select_until_enough(
@@ -147,7 +154,7 @@
         expected_slots = 0.0
         selected: list[Worker] = []
         for worker in sorted(workers, key=self._sort_key):
-            if expected_slots >= wanted_slots and len(selected) >= FEWEST_ASKED:
+            if expected_slots >= wanted_slots and len(selected) >= MINIMUM_WORKERS_PER_CALL:
                 break
             selected.append(worker)
             expected_slots += self._approval_rate * slots_of(worker)
@@ -159,9 +166,9 @@
         Ties are broken by a hash of job and worker, so that jobs prefer different workers.
         """
         name = f"{self._step.key.job_id}/{worker.worker_id}"
-        return -self.slots_now(worker), zlib.crc32(name.encode())
+        return -self.free_slots(worker), zlib.crc32(name.encode())
 
-    def slots_now(self, worker: Worker) -> int:
+    def free_slots(self, worker: Worker) -> int:
         """Return how many more tasks of the step a worker can start now."""
         tasks_allowed = self._task_limit - self._task_counts.get(worker.worker_id, 0)
         return max(0, min(tasks_allowed, self._free_capacity.slots(worker, self._step.needs)))
@@ -170,7 +177,7 @@
         return min(self._task_limit, slots_within(worker.record.capacity, self._step.needs))
 
 
-def pause_seconds(policy: AdvicePolicy, worker_count: int) -> float:
+def call_interval_seconds(policy: AdvicePolicy, worker_count: int) -> float:
     """Return the least time, in seconds, between two calls of a step about new workers.
 
     Parameters
@@ -195,11 +202,11 @@
     its workers about equals the fixed cost of a call.
     """
     if not step.spec.gang:
-        return [tuple(worker_ids[:MAXIMUM_WORKERS_ASKED])]
+        return [tuple(worker_ids[:MAXIMUM_WORKERS_PER_CALL])]
     balanced_size = (
         int(policy.decide_ms / policy.per_item_ms) if policy.per_item_ms else len(worker_ids)
     )
-    max_workers = min(MAXIMUM_WORKERS_ASKED, max(balanced_size, MINIMUM_WORKERS_ASKED))
+    max_workers = min(MAXIMUM_WORKERS_PER_CALL, max(balanced_size, MINIMUM_WORKERS_PER_SPLIT_CALL))
     call_count = -(-len(worker_ids) // max_workers)
     call_size = -(-len(worker_ids) // call_count)
     return [
--- a/src/onyxspoke/core/placement/advice_need.py
+++ b/src/onyxspoke/core/placement/advice_timing.py
@@ -14,7 +14,7 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.forecast import expected_end
 from onyxspoke.core.placement.queue_order import StepRank
 from onyxspoke.core.placement.worker_table import WorkerTable
@@ -62,7 +62,7 @@
         return self.free_milli + self._freed_milli[bisect_right(self._end_times, moment)]
 
 
-class AdviceNeed:
+class AdviceTiming:
     """Decides for each step of a placement pass whether the step should request advice.
 
     Parameters
@@ -71,16 +71,18 @@
         Longest time that the stop of a run takes.
     """
 
-    def __init__(self, table: WorkerTable, desk: AdviceDesk, stop_seconds: float) -> None:
+    def __init__(
+        self, table: WorkerTable, advice_dispatcher: AdviceDispatcher, stop_seconds: float
+    ) -> None:
         self._table = table
-        self._desk = desk
+        self._advice_dispatcher = advice_dispatcher
         self._stop_seconds = stop_seconds
         self._capacities: dict[str, _ServiceCapacity] = {}
         self._refreshed_at = float("-inf")
 
     def begin_pass(self, now: float) -> None:
         """Begin a placement pass; the steps follow in order of rank."""
-        if not self._desk.has_shares:
+        if not self._advice_dispatcher.uses_fair_shares:
             return
         if now - self._refreshed_at >= CAPACITY_REFRESH_SECONDS:
             self._refreshed_at = now
@@ -94,7 +96,7 @@
         if service_capacity is not None:
             service_capacity.queued_before_milli += tasks * step.needs.processors_milli
 
-    def is_of_use(
+    def should_request(
         self, step: StepProgress, queue: QueuePolicy, rank: StepRank, may_fit: bool, now: float
     ) -> bool:
         """Return whether a step without advice should request advice now.
@@ -105,7 +107,11 @@
             Whether some worker may have enough free capacity for one task of the step.
         """
         service_capacity, policy = self._capacities.get(queue.service), queue.advice
-        if not self._desk.has_shares or service_capacity is None or policy is None:
+        if (
+            not self._advice_dispatcher.uses_fair_shares
+            or service_capacity is None
+            or policy is None
+        ):
             return True
         is_uncontended = (
             service_capacity.free_milli >= UNCONTENDED_SHARE * service_capacity.total_milli
@@ -115,7 +121,9 @@
         expected_milli = self._expected_capacity(service_capacity, policy, rank, now)
         if service_capacity.queued_before_milli < expected_milli:
             return True
-        self._desk.note_deferred(step, service_capacity.queued_before_milli, expected_milli)
+        self._advice_dispatcher.note_deferred(
+            step, service_capacity.queued_before_milli, expected_milli
+        )
         return False
 
     def _expected_capacity(
@@ -126,8 +134,8 @@
         Only capacity that becomes free while the step's tickets are valid is counted.
         """
         seconds = policy.call_seconds(_TYPICAL_WORKERS_PER_CALL)
-        answer_at = now + seconds + self._desk.wait_seconds(seconds, rank, now)
-        if not rank.is_owed:
+        answer_at = now + seconds + self._advice_dispatcher.wait_seconds(seconds, rank, now)
+        if not rank.is_entitled:
             return service_capacity.free_by(answer_at)
         usable_until = answer_at + USABLE_VALIDITY_SHARE * policy.validity_ms / _MILLISECONDS
         return int(ENTITLED_CAPACITY_FACTOR * service_capacity.free_by(usable_until))
--- a/src/onyxspoke/core/placement/advice_places.py
+++ b/src/onyxspoke/core/placement/entry_partition.py
@@ -67,7 +67,7 @@
         return self._average * math.exp((self._updated_at - now) / LOAD_AVERAGE_SECONDS)
 
 
-class AdvicePlaces:
+class EntryPartition:
     """Partitions the entries among short, medium and long calls, by the observed load."""
 
     def __init__(self) -> None:
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -15,9 +15,9 @@
 from typing import Protocol, TypeVar
 
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
-from onyxspoke.core.placement.blame import JUST_BEGUN_SECONDS
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.blame import RECENT_START_SECONDS
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
 #: Usual upper limit, in seconds, of the time to detect a crash.  Connections are reset within
@@ -27,7 +27,7 @@
 #: often has the fewest runs, and every suspect task placed there would seem to crash it.
 STABLE_UPTIME_SECONDS = 10.0
 #: How long, in seconds, the start of a suspect task is isolated.
-ISOLATION_SECONDS = JUST_BEGUN_SECONDS + CRASH_REPORT_SECONDS
+ISOLATION_SECONDS = RECENT_START_SECONDS + CRASH_REPORT_SECONDS
 
 
 class HasWorker(Protocol):
@@ -41,11 +41,11 @@
 AnyHasWorker = TypeVar("AnyHasWorker", bound=HasWorker)
 
 
-def keep_free_for(run: Run, now: float) -> None:
+def isolate_worker_of(run: Run, now: float) -> None:
     """Let no other run start on the worker of a suspect run until a crash would be detected."""
     step = run.task.step
     if run.task.crashes.is_suspicious or is_on_trial(step):
-        step.begins_apart_until = run.worker.kept_free_until = now + ISOLATION_SECONDS
+        step.begins_apart_until = run.worker.isolated_until = now + ISOLATION_SECONDS
 
 
 def is_on_trial(step: StepProgress) -> bool:
@@ -59,7 +59,7 @@
     run = task.run
     if run is None or not run.confirmed_at or run.ordered_at <= crashed_at:
         return False
-    return run.worker.heard_at > run.ordered_at + JUST_BEGUN_SECONDS
+    return run.worker.heard_at > run.ordered_at + RECENT_START_SECONDS
 
 
 def needs_isolation(task: TaskProgress, step_is_on_trial: bool) -> bool:
@@ -72,7 +72,7 @@
     suspects: list[TaskProgress],
     candidates: list[AnyHasWorker],
     task_counts: dict[str, int],
-    free_capacity: ScratchRoom,
+    free_capacity: ScratchCapacity,
     now: float,
 ) -> list[tuple[AnyHasWorker, TaskProgress]]:
     """Return the placements of a step's suspect tasks, on as few workers as possible.
@@ -98,7 +98,7 @@
 
 
 def _isolated_slots(
-    worker: Worker, step: StepProgress, task_counts: dict[str, int], free_capacity: ScratchRoom
+    worker: Worker, step: StepProgress, task_counts: dict[str, int], free_capacity: ScratchCapacity
 ) -> int:
     slots = free_capacity.slots(worker, step.needs)
     limit = step.spec.spread_limit
@@ -106,7 +106,7 @@
 
 
 def _isolation_cost(
-    worker: Worker, free_capacity: ScratchRoom, now: float
+    worker: Worker, free_capacity: ScratchCapacity, now: float
 ) -> tuple[bool, bool, int]:
     """Return the cost of isolating tasks on a worker; the lowest is best.
 
@@ -115,7 +115,7 @@
     """
     latest_order_at = max((run.ordered_at for run in worker.runs.values()), default=0.0)
     has_recent_starts = (
-        free_capacity.has_taken_of(worker) or now - latest_order_at < JUST_BEGUN_SECONDS
+        free_capacity.has_taken_from(worker) or now - latest_order_at < RECENT_START_SECONDS
     )
     is_recently_started = now - worker.first_heard_at < STABLE_UPTIME_SECONDS
     return is_recently_started, has_recent_starts, len(worker.runs)
--- a/src/onyxspoke/core/placement/spreading.py
+++ b/src/onyxspoke/core/placement/spreading.py
@@ -11,8 +11,12 @@
 
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
 from onyxspoke.core.placement.isolation import is_on_trial, needs_isolation, place_isolated
-from onyxspoke.core.placement.room import ScratchRoom
-from onyxspoke.core.placement.worker_pace import ALIKE, PaceTerms, pace_chooser
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
+from onyxspoke.core.placement.worker_speed_preference import (
+    NEUTRAL_SPEED_SCORE,
+    SpeedScore,
+    speed_preference,
+)
 from onyxspoke.core.placement.workers import Worker
 
 
@@ -44,10 +48,10 @@
 def place_tasks(
     step: StepProgress,
     candidates: list[Candidate],
-    free_capacity: ScratchRoom,
+    free_capacity: ScratchCapacity,
     max_tasks: int,
     now: float,
-    minds_speed: bool = True,
+    is_speed_aware: bool = True,
 ) -> StepPlacement | None:
     """Return placements for up to ``max_tasks`` waiting tasks of a step.
 
@@ -57,11 +61,11 @@
     step_is_on_trial = is_on_trial(step)
     waiting = [task for task in startable if not needs_isolation(task, step_is_on_trial)]
     suspects = [task for task in startable if needs_isolation(task, step_is_on_trial)]
-    task_counts = counts_on_workers(step)
+    task_counts = task_counts_by_worker(step)
     zones = {task.run.worker.record.zone for task in step.tasks if task.run is not None}
     remaining = list(candidates)
-    chooser = pace_chooser(
-        step, (candidate_worker.worker for candidate_worker in candidates), minds_speed, now
+    chooser = speed_preference(
+        step, (candidate_worker.worker for candidate_worker in candidates), is_speed_aware, now
     )
     placements: list[Placement] = []
     while waiting and remaining:
@@ -74,7 +78,7 @@
             )
             if not tasks:
                 continue
-            pace = ALIKE if chooser is None else chooser.terms(candidate.worker)
+            pace = NEUTRAL_SPEED_SCORE if chooser is None else chooser.score(candidate.worker)
             score = _score(
                 candidate.worker, step, tasks, len(waiting), zones, free_capacity, now, pace
             )
@@ -100,7 +104,7 @@
     step: StepProgress,
     waiting: list[TaskProgress],
     task_counts: dict[str, int],
-    free_capacity: ScratchRoom,
+    free_capacity: ScratchCapacity,
     now: float,
 ) -> list[TaskProgress]:
     """Return the tasks that a worker would get; tasks that last failed there are avoided."""
@@ -121,9 +125,9 @@
     tasks: list[TaskProgress],
     waiting_count: int,
     zones: set[str],
-    free_capacity: ScratchRoom,
+    free_capacity: ScratchCapacity,
     now: float,
-    pace: PaceTerms,
+    pace: SpeedScore,
 ) -> tuple[int, ...]:
     """Return the score of a worker for the given tasks; the lowest is best.
 
@@ -137,24 +141,24 @@
     is_in_other_zone = bool(zones) and worker.record.zone not in zones
     return (
         int(tasks[0].failed_on == worker.worker_id),
-        int(worker.health.is_doubtful(now)),
-        int(is_far(worker, step)),
-        pace.lateness,
+        int(worker.health.is_suspected(now)),
+        int(is_off_preferred_rack(worker, step)),
+        pace.lateness_penalty,
         free.accelerators if needs_accelerators else 0,
         int(is_in_other_zone),
         int(len(tasks) < waiting_count),
-        pace.waste,
+        pace.fast_worker_penalty,
         free.processors_milli,
     )
 
 
-def is_far(worker: Worker, step: StepProgress) -> bool:
+def is_off_preferred_rack(worker: Worker, step: StepProgress) -> bool:
     """Return whether a worker is outside the rack that the step prefers for its data."""
     rack = step.spec.preferred_rack
     return bool(rack) and worker.record.rack != rack
 
 
-def counts_on_workers(step: StepProgress) -> dict[str, int]:
+def task_counts_by_worker(step: StepProgress) -> dict[str, int]:
     """Return how many tasks of a step run on each worker, by worker id.
 
     The result is empty if the step has no spread limit.
--- a/src/onyxspoke/core/placement/step_advice.py
+++ b/src/onyxspoke/core/placement/step_advice.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from onyxspoke.core.jobs.model import WorkerId
-from onyxspoke.core.placement.advice_line import AdviceCall
+from onyxspoke.core.placement.advice_queue import AdviceCall
 from onyxspoke.core.shard.orders import AdviceResult
 
 _MILLISECONDS = 1_000.0
@@ -32,17 +32,17 @@
     """Advice on one step: tickets of the approved workers, and all workers queried."""
 
     tickets: dict[WorkerId, HeldTicket] = field(default_factory=dict)
-    asked: set[WorkerId] = field(default_factory=set)
+    queried_workers: set[WorkerId] = field(default_factory=set)
     #: Numbers of the step's calls that are queued or in flight.
     open_calls: set[int] = field(default_factory=set)
     retry_at: float = 0.0
     #: Whether the log has recorded that the step defers its request for advice.
     deferral_logged: bool = False
     #: Earliest time for a call about workers that have not been queried, such as new workers.
-    unknown_due_at: float = -math.inf
+    new_workers_due_at: float = -math.inf
 
     @property
-    def is_asking(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Whether a call about the step is queued or in flight."""
         return bool(self.open_calls)
 
@@ -55,7 +55,7 @@
 
     def may_run_on(self, worker_id: WorkerId) -> bool:
         """Return whether a worker is approved for the step, or has not been queried yet."""
-        return worker_id in self.tickets or worker_id not in self.asked
+        return worker_id in self.tickets or worker_id not in self.queried_workers
 
 
 @dataclass(slots=True)
@@ -81,7 +81,7 @@
 
 def record_answer(advice: StepAdvice, call: AdviceCall, result: AdviceResult, now: float) -> None:
     """Store the tickets of an answer, and record the workers that the call named."""
-    advice.asked.update(call.worker_ids)
+    advice.queried_workers.update(call.worker_ids)
     use_before = now + result.validity_ms / _MILLISECONDS - TICKET_MARGIN_SECONDS
     for ticket in result.tickets:
         advice.tickets[ticket.worker_id] = HeldTicket(ticket.text, use_before)
