--- a/src/onyxspoke/core/placement/__init__.py
+++ b/src/onyxspoke/core/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Where runs go: room of workers, order of waiting steps, advice on policy."""
+"""Placement of tasks: worker capacity, the order of waiting steps, and advice from policies."""
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -1,14 +1,15 @@
-"""Whether a worker crashed, and which of its runs may have brought it down.
+"""Decide whether a worker crashed, and which of its runs may have caused the crash.
 
-| sign | concluded |
+| observation | conclusion |
 |---|---|
-| another life answers at the address, and the worker was not leaving | it crashed |
-| its lease is over, its entry gone, and it was not leaving | it crashed, or was cut off; counted |
-| its lease is over, and its entry stays | only the way there is cut; not counted |
-| it was draining, or its entry had gone while it answered | a planned end; not counted |
-| the same life answers again before that | a cut or a freeze; not counted |
-
-Another life is one of another name, or of another birth under the same name.
+| another incarnation answers at the address, and the worker was not draining | it crashed |
+| its lease has expired, its entry is gone, and it was not draining | it crashed, or was cut off |
+| its lease has expired, and its entry is still listed | only the connection is cut; no crash |
+| it was draining, or its entry had gone while it still answered | a planned end; no crash |
+| the same incarnation answers again before that | a cut or a freeze; no crash |
+
+A worker that may only have been cut off is counted as crashed.  Another incarnation has another
+name, or another start time under the same name.
 """
 
 from __future__ import annotations
@@ -21,77 +22,77 @@
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.core.placement.workers import Worker
 
-#: Runs that were ordered at most so long, in seconds, before their worker was last heard of had
-#: just begun when it went down.  Tasks that crash a worker as they start do so within some 10 ms;
-#: the rest leaves room for orders that are answered out of turn.
+#: A run counts as just started when its start was ordered at most this many seconds before its
+#: worker last answered.  Tasks that crash a worker at their start do so within about 10 ms; the
+#: rest of the window allows for orders that are answered out of sequence.
 JUST_BEGUN_SECONDS = 0.5
-#: But one that its worker listed at work so long, in seconds, after the order has survived its
-#: beginning.  Without that, runs listed 0.24 and 0.44 s after their orders, whose ends were not
-#: read before their workers went down, ended two jobs of 150 explored schedules.
-SURVIVED_SECONDS = 0.1
-#: A worker that was not heard for longer, in seconds, while looks at it were lost and none was
-#: refused, went down at an unknown moment: a cut may have hidden the ends of its runs.  Blamed as
-#: just begun, a gang that had ended well behind a cut ended its job.
-KNOWN_MOMENT_SECONDS = 1.0
-#: A lasting task that has worked for so long, in seconds, does not crash its workers: over months
-#: some worker or other goes down under each of them, and that must not end their jobs.
+#: A run that its worker lists as running this many seconds after the start order has survived its
+#: start.  Without this limit, runs whose ends were not yet read when their workers crashed would
+#: be blamed for the crash, and their jobs would fail.
+SURVIVED_START_SECONDS = 0.1
+#: The moment of a crash is unknown when the worker had not answered for longer than this, in
+#: seconds, and its polls timed out without any refusal: a network cut may have hidden the ends of
+#: its runs.  No run is then blamed as just started, because it may have succeeded behind the cut.
+KNOWN_CRASH_TIME_SECONDS = 1.0
+#: A long-running task that has run for this many seconds is not blamed for a crash.  Over months
+#: some worker fails under every such task, and these failures must not end its job.
 STEADY_SECONDS = 30.0
 
 
 class EndOfLife(Enum):
-    """By what sign a worker's life is taken for over."""
+    """Why the incarnation of a worker is considered to have ended."""
 
     OTHER_LIFE = "other_life"
     LEASE_OVER = "lease_over"
 
 
-def has_crashed(worker: Worker, sign: EndOfLife) -> bool:
-    """Return whether a worker whose life is over went down unplanned, as far as can be told."""
-    was_listed = worker.last_contact_listing
-    was_leaving = WorkerListing.DRAINING in (worker.listing, was_listed)
-    if was_leaving or was_listed is WorkerListing.GONE:
+def has_crashed(worker: Worker, reason: EndOfLife) -> bool:
+    """Return whether a worker whose incarnation has ended went down unplanned, as far as known."""
+    last_listing = worker.listing_at_last_answer
+    was_draining = WorkerListing.DRAINING in (worker.listing, last_listing)
+    if was_draining or last_listing is WorkerListing.GONE:
         return False
-    return sign is EndOfLife.OTHER_LIFE or worker.listing is WorkerListing.GONE
+    return reason is EndOfLife.OTHER_LIFE or worker.listing is WorkerListing.GONE
 
 
 def blame_runs(worker: Worker, now: float) -> list[tuple[Run, Blame]]:
-    """Return the runs that were ordered on a worker that crashed, each with its blame."""
+    """Return every run that was ordered on a crashed worker, with its blame for the crash."""
     runs = [run for run in worker.runs.values() if run.state is not RunState.PLANNED]
-    recent = [run for run in runs if _had_just_begun(run, worker)]
-    if _went_down_at_unknown_moment(worker, now):
-        recent = []
-    is_one_job = len({run.task.key.job_id for run in recent}) == 1
-    blame_of_recent = Blame.ALONE if is_one_job else Blame.RECENT
-    return [(run, _blame_of(run, run in recent, blame_of_recent, now)) for run in runs]
+    just_started = [run for run in runs if _had_just_started(run, worker)]
+    if _crash_time_is_unknown(worker, now):
+        just_started = []
+    is_one_job = len({run.task.key.job_id for run in just_started}) == 1
+    just_started_blame = Blame.ALONE if is_one_job else Blame.RECENT
+    return [(run, _blame_of(run, run in just_started, just_started_blame, now)) for run in runs]
 
 
-def _went_down_at_unknown_moment(worker: Worker, now: float) -> bool:
-    was_lost = worker.was_unanswered and not worker.was_refused
-    return was_lost and now - worker.heard_at > KNOWN_MOMENT_SECONDS
+def _crash_time_is_unknown(worker: Worker, now: float) -> bool:
+    only_timed_out = worker.poll_timed_out and not worker.poll_was_refused
+    return only_timed_out and now - worker.heard_at > KNOWN_CRASH_TIME_SECONDS
 
 
-def _had_just_begun(run: Run, worker: Worker) -> bool:
-    has_survived = run.listed_at - run.ordered_at >= SURVIVED_SECONDS
-    if _has_stopped(run) or has_survived or not run.ordered_at:
+def _had_just_started(run: Run, worker: Worker) -> bool:
+    has_survived_start = run.listed_at - run.ordered_at >= SURVIVED_START_SECONDS
+    if _had_stopped(run) or has_survived_start or not run.ordered_at:
         return False
     return run.ordered_at >= worker.heard_at - JUST_BEGUN_SECONDS
 
 
-def _has_stopped(run: Run) -> bool:
-    """Return whether a run has surely ended before its worker went down, though its end is unread.
+def _had_stopped(run: Run) -> bool:
+    """Return whether a run had certainly stopped before the crash, though its end was not read.
 
-    A worker that answers a stop ends the run in a fraction of a second.  Blamed as if they had been
-    there, such runs ended a job whose workers went down two seconds after it had left them.  A stop
-    without an answer tells nothing: the worker may have gone down under the run before.
+    A worker that answers a stop order ends the run within a fraction of a second.  Such a run
+    must not be blamed for a crash that happens later.  A stop order without an answer proves
+    nothing: the worker may have crashed before the order arrived, while the run was active.
     """
     return run.state is RunState.STOPPING and run.stop_answered_at > 0.0
 
 
-def _blame_of(run: Run, is_recent: bool, blame_of_recent: Blame, now: float) -> Blame:
-    if not run.confirmed_at or _has_stopped(run):
+def _blame_of(run: Run, is_just_started: bool, just_started_blame: Blame, now: float) -> Blame:
+    if not run.confirmed_at or _had_stopped(run):
         return Blame.DOUBTED
-    if is_recent:
-        return blame_of_recent
+    if is_just_started:
+        return just_started_blame
     is_steady = now - run.confirmed_at >= STEADY_SECONDS
-    is_lasting = run.task.step.spec.long_running
-    return Blame.NONE if is_lasting and is_steady else Blame.PRESENT
+    is_long_running = run.task.step.spec.long_running
+    return Blame.NONE if is_long_running and is_steady else Blame.PRESENT
--- a/src/onyxspoke/core/placement/forecast.py
+++ b/src/onyxspoke/core/placement/forecast.py
@@ -1,4 +1,4 @@
-"""How long runs still take, and so when a worker will have room."""
+"""Estimate how long runs still take, and when a worker will have enough free capacity."""
 
 from __future__ import annotations
 
@@ -11,79 +11,81 @@
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.workers import Worker
 
-#: Progress, in percent, from which on it tells more than the estimate.
+#: Progress, in percent, from which it predicts the end of a run better than the estimate does.
 TELLING_PERCENT = 5
 _FULL_PERCENT = 100
 
 
 def remaining_seconds(run: Run, now: float) -> float:
-    """Return about how long a run still takes, by its progress or else by its estimate."""
+    """Return how long a run is expected to continue, by its progress or else by its estimate."""
     if run.task.step.spec.long_running:
         return math.inf
     estimate = run.expected_seconds
     if run.is_resumed:
-        left = estimate * (_FULL_PERCENT - run.percent) / _FULL_PERCENT
-        return max(0.0, left - (now - run.moved_at))
+        remaining = estimate * (_FULL_PERCENT - run.percent) / _FULL_PERCENT
+        return max(0.0, remaining - (now - run.moved_at))
     elapsed = now - run.confirmed_at
     if run.percent >= TELLING_PERCENT:
-        whole = elapsed / run.percent * _FULL_PERCENT
-        return max(0.0, whole - elapsed)
+        total = elapsed / run.percent * _FULL_PERCENT
+        return max(0.0, total - elapsed)
     return max(0.0, estimate - elapsed)
 
 
-class RoomForecast:
-    """When workers will have room, as one pass of placement sees it.
+class CapacityForecast:
+    """Predicts during one placement pass when workers will have enough free capacity.
 
     Parameters
     ----------
     stop_seconds : float
-        How long a stop takes at most.
+        The longest time that stopping a run takes, in seconds.
     now : float
-        The moment of the pass.
+        The time of the pass.
     """
 
     def __init__(self, stop_seconds: float, now: float) -> None:
         self._stop_seconds = stop_seconds
         self._now = now
-        #: Ends of a worker's runs, the soonest first, and what each frees.
-        self._ends: dict[WorkerId, list[tuple[float, Needs]]] = {}
-
-    def room_expected_at(self, worker: Worker, needs: Needs, room: ScratchRoom) -> float:
-        """Return when a worker will have room for one more task; infinity if not known."""
-        processors, memory, accelerators = room.free(worker)
-        if _fits(processors, memory, accelerators, needs):
+        #: For each worker the expected ends of its runs, earliest first, with the capacity that
+        #: each end frees.
+        self._expected_ends: dict[WorkerId, list[tuple[float, Needs]]] = {}
+
+    def capacity_expected_at(self, worker: Worker, needs: Needs, capacity: ScratchRoom) -> float:
+        """Return when a worker will have capacity for one more task; infinity if not known."""
+        processors_milli, memory_mb, accelerators = capacity.free(worker)
+        if _fits(processors_milli, memory_mb, accelerators, needs):
             return self._now
-        for at, freed in self._ends_on(worker):
-            processors += freed.processors_milli
-            memory += freed.memory_mb
+        for end_at, freed in self._expected_ends_on(worker):
+            processors_milli += freed.processors_milli
+            memory_mb += freed.memory_mb
             accelerators += freed.accelerators
-            if _fits(processors, memory, accelerators, needs):
-                return at
+            if _fits(processors_milli, memory_mb, accelerators, needs):
+                return end_at
         return math.inf
 
-    def _ends_on(self, worker: Worker) -> list[tuple[float, Needs]]:
-        ends = self._ends.get(worker.worker_id)
-        if ends is None:
-            ends = [
+    def _expected_ends_on(self, worker: Worker) -> list[tuple[float, Needs]]:
+        expected_ends = self._expected_ends.get(worker.worker_id)
+        if expected_ends is None:
+            expected_ends = [
                 (expected_end(run, self._stop_seconds, self._now), run.needs)
                 for run in worker.runs.values()
             ]
-            ends.sort(key=itemgetter(0))
-            self._ends[worker.worker_id] = ends
-        return ends
+            expected_ends.sort(key=itemgetter(0))
+            self._expected_ends[worker.worker_id] = expected_ends
+        return expected_ends
 
 
-def _fits(processors: int, memory: int, accelerators: int, needs: Needs) -> bool:
-    # What is not needed may be held by more than there is.
+def _fits(processors_milli: int, memory_mb: int, accelerators: int, needs: Needs) -> bool:
+    # Runs may hold more of a resource than the worker has, so that its free amount is negative.
+    # A task that needs none of this resource fits all the same.
     return (
-        needs.processors_milli <= max(0, processors)
-        and needs.memory_mb <= max(0, memory)
+        needs.processors_milli <= max(0, processors_milli)
+        and needs.memory_mb <= max(0, memory_mb)
         and needs.accelerators <= max(0, accelerators)
     )
 
 
 def expected_end(run: Run, stop_seconds: float, now: float) -> float:
-    """Return when a run is expected to end; infinity if it lasts."""
+    """Return when a run is expected to end; infinity for a long-running task."""
     if run.state is RunState.STOPPING:
         return max(now, run.stop_sent_at + stop_seconds)
     if not run.confirmed_at:
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -1,4 +1,4 @@
-"""Where gangs start: all members at once, or none; what there is of their room is held."""
+"""Place gangs: start all members of a gang at once, or reserve capacity until then."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from onyxspoke.core.placement.advice_need import AdviceNeed
 from onyxspoke.core.placement.offer import Offer, has_label
 from onyxspoke.core.placement.placement_pass import PlacementPass
-from onyxspoke.core.placement.preemption import Preemption, choose_preemption, freed_soon
+from onyxspoke.core.placement.preemption import Preemption, capacity_freed_soon, choose_preemption
 from onyxspoke.core.placement.queue_order import step_rank_of
-from onyxspoke.core.placement.reservations import MemberSlots, RoomReservations, can_ever_fit
+from onyxspoke.core.placement.reservations import CapacityReservations, MemberSlots, can_ever_fit
 from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.room_seeker import Eviction
 from onyxspoke.core.placement.spreading import Placement, StepPlacement, is_far
@@ -19,168 +19,185 @@
 from onyxspoke.core.placement.worker_pace import ALIKE, PaceChooser, pace_chooser
 from onyxspoke.core.placement.workers import Worker
 
-#: Tickets for a gang are asked for once so much of its room is there.
-ASKING_SHARE = 0.6
-#: Tickets that run out so soon after the answer to a call are asked for anew.
-RENEWAL_SECONDS = 0.1
-#: While most of its room is missing, workers that came into use are asked about so often at most,
-#: in seconds: a call about one of them keeps tickets from being renewed for as long as it takes.
-UNKNOWN_PAUSE_SECONDS = 3.0
-#: A gang that is slower over several racks waits for one rack, for so long at most, as a
-#: share of its estimate.
-ONE_RACK_PATIENCE_SHARE = 0.5
-#: Others give way to a gang that has held room for so long in vain, in seconds.
-PATIENCE_SECONDS = 1.0
-#: Between the end of what gives way and the gang's start, in seconds: the look, and the order.
-START_SECONDS = 0.3
+#: Tickets for a gang are requested once this share of its members has free capacity.
+MIN_READY_MEMBER_SHARE = 0.6
+#: A ticket is renewed if it expires within this many seconds after the answer to a call.
+TICKET_RENEWAL_MARGIN_SECONDS = 0.1
+#: While a gang lacks most of its capacity, it asks about workers that became available only once
+#: in this many seconds, because no ticket can be renewed while the call is in progress.
+UNKNOWN_WORKERS_INTERVAL_SECONDS = 3.0
+#: A gang that runs slower across racks waits for a single rack at most for this share of its
+#: estimated duration.
+ONE_RACK_WAIT_SHARE = 0.5
+#: Other runs are preempted for a gang that has held reserved capacity for this many seconds.
+PREEMPT_AFTER_SECONDS = 1.0
+#: The time from the end of the preempted runs to the start of the gang, in seconds: the poll that
+#: observes their end, and the start order.
+START_DELAY_SECONDS = 0.3
 
 
 class GangPlacer:
-    """Places gangs, asks for their tickets, holds their room and has others give way to them.
+    """Places gangs, requests their tickets, reserves capacity and chooses runs to preempt for them.
 
     Parameters
     ----------
     stop_seconds : float
-        How long a stop takes at most.
+        The longest time that stopping a run takes, in seconds.
     """
 
     def __init__(
         self,
-        desk: AdviceDesk,
-        reservations: RoomReservations,
-        need: AdviceNeed,
+        advice_dispatcher: AdviceDesk,
+        reservations: CapacityReservations,
+        advice_need: AdviceNeed,
         stop_seconds: float,
     ) -> None:
-        self._desk = desk
-        self._need = need
+        self._advice_dispatcher = advice_dispatcher
+        self._advice_need = advice_need
         self._reservations = reservations
         self._stop_seconds = stop_seconds
-        self.evictions: list[Eviction] = []
+        self.preemption_requests: list[Eviction] = []
 
     def place(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         offer: Offer,
-        current: PlacementPass,
+        placement_pass: PlacementPass,
     ) -> StepPlacement | None:
-        """Return where a gang starts now, or ``None``; then room may be held for it."""
+        """Return where a gang starts now, or ``None``; capacity may then be reserved for it."""
         if len(step.waiting) < len(step.tasks):
             return None
-        advice = self._desk.advice_on(step) if queue.advice is not None else None
-        workers = _workers_for_gang(step, advice, offer, current.now)
-        chooser = pace_chooser(step, workers, current.minds_speed, current.now)
-        slots = _slots_of(step, workers, current.room, current.now, chooser)
-        usable = slots
+        advice = self._advice_dispatcher.advice_on(step) if queue.advice is not None else None
+        workers = _eligible_workers(step, advice, offer, placement_pass.now)
+        chooser = pace_chooser(step, workers, placement_pass.minds_speed, placement_pass.now)
+        slots = _free_slots(step, workers, placement_pass.room, placement_pass.now, chooser)
+        usable_slots = slots
         if advice is not None:
-            held = advice.tickets
-            usable = [
-                item for item in slots if current.now < held[item.worker.worker_id].use_before
+            tickets = advice.tickets
+            usable_slots = [
+                item
+                for item in slots
+                if placement_pass.now < tickets[item.worker.worker_id].use_before
             ]
-        members = _choose_for_gang(step, usable, current.now)
+        members = _choose_slots(step, usable_slots, placement_pass.now)
         if members is not None:
             self._reservations.drop(step.key)
-            return _start_gang(step, members, advice, current.room)
+            return _start_gang(step, members, advice, placement_pass.room)
         may_hold = self._reservations.holds(step.key) or self._reservations.is_within_share(
             offer.processors_milli
         )
         if may_hold and can_ever_fit(step, workers):
-            slots = self._room_to_hold(step, queue, workers, slots, current)
-            self._reservations.hold(step, slots, current.room, current.now)
+            slots = self._slots_to_reserve(step, queue, workers, slots, placement_pass)
+            self._reservations.hold(step, slots, placement_pass.room, placement_pass.now)
         else:
             self._reservations.drop(step.key)
-        self._ask(step, queue, offer, slots, current)
+        self._request_tickets(step, queue, offer, slots, placement_pass)
         return None
 
-    def _ask(
+    def _request_tickets(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         offer: Offer,
         slots: list[MemberSlots],
-        current: PlacementPass,
+        placement_pass: PlacementPass,
     ) -> None:
-        """Ask for the tickets that are missing to use the room that there is, or will be soon."""
+        """Request the tickets that a gang lacks for capacity that is free now, or will be soon."""
         if queue.advice is None:
             return
-        advice = self._desk.advice_on(step)
-        rank = step_rank_of(step, queue, current.now)
+        advice = self._advice_dispatcher.advice_on(step)
+        rank = step_rank_of(step, queue, placement_pass.now)
         may_fit = offer.may_fit(step.needs)
         if not advice.is_asking and (
-            advice.asked or self._need.is_of_use(step, queue, rank, may_fit, current.now)
+            advice.asked
+            or self._advice_need.is_of_use(step, queue, rank, may_fit, placement_pass.now)
         ):
-            chooser = AdviceChooser(step, offer, current.room, self._desk.good_share(queue.name))
-            ask = _workers_to_ask_for_gang(
-                step, queue.advice, advice, offer, slots, chooser, current.now
+            chooser = AdviceChooser(
+                step, offer, placement_pass.room, self._advice_dispatcher.good_share(queue.name)
             )
-            self._desk.want(step, queue.advice, ask, rank, current.now)
+            worker_ids = _workers_to_ask_about(
+                step, queue.advice, advice, offer, slots, chooser, placement_pass.now
+            )
+            self._advice_dispatcher.want(step, queue.advice, worker_ids, rank, placement_pass.now)
 
-    def _room_to_hold(
+    def _slots_to_reserve(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         workers: list[Worker],
         slots: list[MemberSlots],
-        current: PlacementPass,
+        placement_pass: PlacementPass,
     ) -> list[MemberSlots]:
-        """Return the room to hold: what there is, what comes in a moment, what others leave."""
-        members = len(step.tasks)
-        held = _first_members(slots, members)
-        missing = members - _total(held)
-        if missing <= 0:
-            return held
-        soon = _first_members(_slots_soon(step, workers, current.room, current.now), missing)
-        held += soon
-        missing -= _total(soon)
-        if missing > 0 and self._may_others_give_way(step, queue, current.now):
-            busy = {item.worker.worker_id for item in soon}
-            idle = [worker for worker in workers if worker.worker_id not in busy]
-            held += self._make_room(step, queue, idle, missing, current)
-        return held
-
-    def _may_others_give_way(self, step: StepProgress, queue: QueuePolicy, now: float) -> bool:
-        """Return whether a gang has waited long enough, and may be on time with others' room."""
+        """Return the slots to reserve: free now, free soon, or freed by preemption."""
+        member_count = len(step.tasks)
+        reserved = _first_members(slots, member_count)
+        missing_count = member_count - _slot_count(reserved)
+        if missing_count <= 0:
+            return reserved
+        soon = _first_members(
+            _slots_freed_soon(step, workers, placement_pass.room, placement_pass.now), missing_count
+        )
+        reserved += soon
+        missing_count -= _slot_count(soon)
+        if missing_count > 0 and self._may_preempt(step, queue, placement_pass.now):
+            soon_worker_ids = {item.worker.worker_id for item in soon}
+            other_workers = [
+                worker for worker in workers if worker.worker_id not in soon_worker_ids
+            ]
+            reserved += self._preempt_for(step, queue, other_workers, missing_count, placement_pass)
+        return reserved
+
+    def _may_preempt(self, step: StepProgress, queue: QueuePolicy, now: float) -> bool:
+        """Return whether a gang has waited long enough, and preemption lets it start in time."""
         held_since = self._reservations.held_since(step.key)
-        if held_since is None or now - held_since < PATIENCE_SECONDS:
+        if held_since is None or now - held_since < PREEMPT_AFTER_SECONDS:
             return False
         rank = step_rank_of(step, queue, now)
         if rank.is_beyond_share:
             return False
-        return now + self._stop_seconds + START_SECONDS <= rank.latest_start
+        return now + self._stop_seconds + START_DELAY_SECONDS <= rank.latest_start
 
-    def _make_room(
+    def _preempt_for(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         workers: list[Worker],
-        missing: int,
-        current: PlacementPass,
+        missing_count: int,
+        placement_pass: PlacementPass,
     ) -> list[MemberSlots]:
-        """Have runs of later queues give way for all missing members, or none of them.
+        """Choose runs of lower-priority queues to preempt for all missing members, or for none.
 
         Returns
         -------
         list of MemberSlots
-            Where there will be room.
+            The slots that the preempted runs will free.
         """
         chosen: list[Preemption] = []
-        left = list(workers)
-        while len(chosen) < missing:
-            found = choose_preemption(
-                queue.priority, step.needs, left, current.room, current.policy, current.now
+        remaining_workers = list(workers)
+        while len(chosen) < missing_count:
+            next_preemption = choose_preemption(
+                queue.priority,
+                step.needs,
+                remaining_workers,
+                placement_pass.room,
+                placement_pass.policy,
+                placement_pass.now,
             )
-            if found is None:
+            if next_preemption is None:
                 return []
-            chosen.append(found)
-            left = [worker for worker in left if worker is not found.worker]
-        self.evictions += [Eviction(step, preemption) for preemption in chosen]
+            chosen.append(next_preemption)
+            remaining_workers = [
+                worker for worker in remaining_workers if worker is not next_preemption.worker
+            ]
+        self.preemption_requests += [Eviction(step, preemption) for preemption in chosen]
         return [MemberSlots(preemption.worker, 1) for preemption in chosen]
 
 
-def _workers_for_gang(
+def _eligible_workers(
     step: StepProgress, advice: StepAdvice | None, offer: Offer, now: float
 ) -> list[Worker]:
-    """Return the workers that may run a gang's members, whether there is room or not."""
+    """Return the workers that may run members of a gang, whether or not they have capacity."""
     if advice is None:
         workers = list(offer.workers.values())
     else:
@@ -192,23 +209,23 @@
     ]
 
 
-def _slots_of(
+def _free_slots(
     step: StepProgress,
     workers: list[Worker],
-    room: ScratchRoom,
+    capacity: ScratchRoom,
     now: float,
     chooser: PaceChooser | None,
 ) -> list[MemberSlots]:
-    """Return how many members each worker has room for, the best workers first.
+    """Return how many members each worker has free capacity for, the best workers first.
 
-    The slowest sets the pace, so that workers of like speed stand together.
-    Those with room for most members come first: a gang is broken off by the loss of any of its
-    workers, so that it is to have few.
+    The slowest member determines how long a gang takes, so workers are grouped by speed.  Among
+    workers of the same speed, those that can take the most members come first: the loss of any
+    worker aborts the whole gang, so a gang should use few workers.
     """
     failed_on = {task.failed_on for task in step.tasks}
     ranked = []
     for worker in workers:
-        count = min(step.most_on_a_worker, room.slots(worker, step.needs))
+        count = min(step.most_on_a_worker, capacity.slots(worker, step.needs))
         if count > 0:
             score = (
                 int(worker.worker_id in failed_on),
@@ -216,7 +233,7 @@
                 int(is_far(worker, step)),
                 (ALIKE if chooser is None else chooser.terms(worker)),
                 -count,
-                room.free_processors(worker),
+                capacity.free_processors(worker),
                 worker.worker_id,
             )
             ranked.append((score, MemberSlots(worker, count)))
@@ -224,24 +241,24 @@
     return [slots for _score, slots in ranked]
 
 
-def _slots_soon(
-    step: StepProgress, workers: list[Worker], room: ScratchRoom, now: float
+def _slots_freed_soon(
+    step: StepProgress, workers: list[Worker], capacity: ScratchRoom, now: float
 ) -> list[MemberSlots]:
-    """Return for how many more members workers will have room in a moment."""
-    most = step.most_on_a_worker
-    found = []
+    """Return how many additional members each worker will soon have capacity for."""
+    max_per_worker = step.most_on_a_worker
+    slots_soon = []
     for worker in workers:
-        freed = freed_soon(worker, now)
+        freed = capacity_freed_soon(worker, now)
         if any(freed):
-            present = min(most, room.slots(worker, step.needs))
-            count = min(most, room.slots(worker, step.needs, freed)) - present
+            free_now = min(max_per_worker, capacity.slots(worker, step.needs))
+            count = min(max_per_worker, capacity.slots(worker, step.needs, freed)) - free_now
             if count > 0:
-                found.append(MemberSlots(worker, count))
-    return found
+                slots_soon.append(MemberSlots(worker, count))
+    return slots_soon
 
 
 def _first_members(slots: list[MemberSlots], count: int) -> list[MemberSlots]:
-    """Return the first so many members' room, or all where there is less."""
+    """Return the slots of the first ``count`` members, or all slots if there are fewer."""
     chosen = []
     for item in slots:
         if count <= 0:
@@ -251,46 +268,48 @@
     return chosen
 
 
-def _total(slots: list[MemberSlots]) -> int:
+def _slot_count(slots: list[MemberSlots]) -> int:
     return sum(item.count for item in slots)
 
 
-def _choose_for_gang(
+def _choose_slots(
     step: StepProgress, slots: list[MemberSlots], now: float
 ) -> list[MemberSlots] | None:
-    """Return room for every member, in one rack where that matters, or ``None``."""
-    members = len(step.tasks)
-    if _total(slots) < members:
+    """Return slots for every member, in one rack if the gang asks for that, or ``None``."""
+    member_count = len(step.tasks)
+    if _slot_count(slots) < member_count:
         return None
     if step.spec.same_rack:
-        racks: dict[str, list[MemberSlots]] = {}
+        slots_by_rack: dict[str, list[MemberSlots]] = {}
         for item in slots:
-            racks.setdefault(item.worker.record.rack, []).append(item)
-        fitting = [items for items in racks.values() if _total(items) >= members]
-        if fitting:
-            slots = min(fitting, key=_total)
-        elif now - step.ready_at < _one_rack_patience(step):
+            slots_by_rack.setdefault(item.worker.record.rack, []).append(item)
+        sufficient = [
+            items for items in slots_by_rack.values() if _slot_count(items) >= member_count
+        ]
+        if sufficient:
+            slots = min(sufficient, key=_slot_count)
+        elif now - step.ready_at < _one_rack_wait_seconds(step):
             return None
-    return _first_members(slots, members)
+    return _first_members(slots, member_count)
 
 
-def _one_rack_patience(step: StepProgress) -> float:
-    return ONE_RACK_PATIENCE_SHARE * step.expected_seconds
+def _one_rack_wait_seconds(step: StepProgress) -> float:
+    return ONE_RACK_WAIT_SHARE * step.expected_seconds
 
 
 def _start_gang(
-    step: StepProgress, members: list[MemberSlots], advice: StepAdvice | None, room: ScratchRoom
+    step: StepProgress, members: list[MemberSlots], advice: StepAdvice | None, capacity: ScratchRoom
 ) -> StepPlacement:
     placements = []
     tasks = iter(step.tasks)
     for item in members:
-        room.take(item.worker, step.needs, item.count)
+        capacity.take(item.worker, step.needs, item.count)
         ticket = "" if advice is None else advice.tickets[item.worker.worker_id].text
         placements += [Placement(next(tasks), item.worker, ticket) for _ in range(item.count)]
     return StepPlacement(step, placements)
 
 
-def _workers_to_ask_for_gang(
+def _workers_to_ask_about(
     step: StepProgress,
     policy: AdvicePolicy,
     advice: StepAdvice,
@@ -299,30 +318,32 @@
     chooser: AdviceChooser,
     now: float,
 ) -> list[str]:
-    """Return the workers whose tickets a gang lacks.
+    """Return the workers for which a gang needs tickets.
 
-    All are asked about at first: a gang needs room on many good workers in one moment.  Asking
-    about twice the capacity that it needs while the line for advice was long cost a tenth of all
-    that was served on busy days.  Later it is those that have room: while some is missing, workers
-    that were not asked about; once most of it is there, the good ones for new tickets.
+    The first call covers all workers, because a gang needs free capacity on many suitable workers
+    at the same moment.  Later calls cover only workers with free capacity: workers that were not
+    asked about yet while the gang lacks slots, and, once most of its slots are there, suitable
+    workers whose tickets are about to expire.
     """
-    members = len(step.tasks)
-    known_good = [offer.workers[name] for name in advice.tickets if name in offer.workers]
+    member_count = len(step.tasks)
+    suitable_workers = [offer.workers[name] for name in advice.tickets if name in offer.workers]
     is_due = now >= advice.unknown_due_at
     unknown_count = len(offer.workers.keys() - advice.asked)
-    if not can_ever_fit(step, known_good) and (is_due or unknown_count >= FEWEST_ASKED):
+    if not can_ever_fit(step, suitable_workers) and (is_due or unknown_count >= FEWEST_ASKED):
         if unknown_count < FEWEST_ASKED and advice.asked:
-            advice.unknown_due_at = now + UNKNOWN_PAUSE_SECONDS
+            advice.unknown_due_at = now + UNKNOWN_WORKERS_INTERVAL_SECONDS
         return chooser.all_unknown(advice)
-    asked: list[str] = []
-    missing = members - _total(slots)
-    if missing > 0:
-        asked = chooser.unknown_with_room(missing, advice)
-    if _total(slots) < ASKING_SHARE * members:
-        if not asked or not is_due:
+    unknown_with_capacity: list[str] = []
+    missing_count = member_count - _slot_count(slots)
+    if missing_count > 0:
+        unknown_with_capacity = chooser.unknown_with_room(missing_count, advice)
+    if _slot_count(slots) < MIN_READY_MEMBER_SHARE * member_count:
+        if not unknown_with_capacity or not is_due:
             return []
-        advice.unknown_due_at = now + UNKNOWN_PAUSE_SECONDS
-        return asked
-    needed_until = now + policy.call_seconds(len(slots)) + RENEWAL_SECONDS
-    names = [item.worker.worker_id for item in slots]
-    return asked + [name for name in names if advice.tickets[name].use_before < needed_until]
+        advice.unknown_due_at = now + UNKNOWN_WORKERS_INTERVAL_SECONDS
+        return unknown_with_capacity
+    needed_until = now + policy.call_seconds(len(slots)) + TICKET_RENEWAL_MARGIN_SECONDS
+    worker_ids = [item.worker.worker_id for item in slots]
+    return unknown_with_capacity + [
+        worker_id for worker_id in worker_ids if advice.tickets[worker_id].use_before < needed_until
+    ]
--- a/src/onyxspoke/core/placement/health.py
+++ b/src/onyxspoke/core/placement/health.py
@@ -1,25 +1,26 @@
-"""What a worker's own runs tell of it: failures in a row, runs that stand still.
+"""The health of a worker, derived from its runs: consecutive failures and stalled runs.
 
-A worker may say that it is well and yet fail, or stall, everything that it runs.
+A worker may report that it is healthy and still fail, or stall, every run that it is given.
 """
 
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import JobId
 
-#: Failures of different jobs in a row after which a worker is avoided.
+#: A worker is avoided once runs of this many different jobs failed on it without a success between.
 FAILURES_TO_AVOID = 2
-#: A single failure makes a worker the last choice for so long.
-DOUBT_SECONDS = 2.0
-#: For how long a worker is avoided, at first and at most; it doubles each time.
+#: For this many seconds after a single failure other workers are preferred.
+SUSPICION_SECONDS = 2.0
+#: How long a worker is avoided, at first and at most; the time doubles with each repetition.
 FIRST_AVOID_SECONDS = 1.5
 LONGEST_AVOID_SECONDS = 6.0
-#: Where nothing was tried for so long since, a worker is trusted again.
+#: The trial of a worker ends this many seconds after the worker was last avoided, even if nothing
+#: was started on it in the meantime.
 TRIAL_SECONDS = 3.0
 
 
 class WorkerHealth:
-    """The record of one worker's runs."""
+    """Tracks the failures and successes of the runs on one worker."""
 
     __slots__ = ("_avoid_seconds", "_avoided_until", "_failed_jobs", "_last_failure_at")
 
@@ -30,13 +31,13 @@
         self._avoid_seconds = FIRST_AVOID_SECONDS
 
     def note_success(self) -> None:
-        """A run ended well."""
+        """Record that a run succeeded, which clears all earlier failures."""
         self._failed_jobs.clear()
         self._avoided_until = 0.0
         self._avoid_seconds = FIRST_AVOID_SECONDS
 
     def note_failure(self, job_id: JobId, now: float) -> bool:
-        """A run failed; return whether the worker is avoided from now on."""
+        """Record that a run failed; return whether the worker is avoided from now on."""
         self._failed_jobs.add(job_id)
         self._last_failure_at = now
         if len(self._failed_jobs) < FAILURES_TO_AVOID:
@@ -45,24 +46,24 @@
         return True
 
     def avoid(self, now: float) -> None:
-        """Offer the worker to nobody for a while, longer each time."""
+        """Stop placing tasks on the worker for a time, which doubles with each repetition."""
         if now < self._avoided_until:
             return
         self._avoided_until = now + self._avoid_seconds
         self._avoid_seconds = min(2 * self._avoid_seconds, LONGEST_AVOID_SECONDS)
 
     def is_avoided(self, now: float) -> bool:
-        """Return whether nothing is to be started there."""
+        """Return whether no run may be started on the worker."""
         return now < self._avoided_until
 
     def is_on_trial(self, now: float) -> bool:
-        """Return whether the worker was avoided and has not run anything well since."""
+        """Return whether the worker was avoided until recently and no run succeeded since."""
         if len(self._failed_jobs) < FAILURES_TO_AVOID:
             return False
         return 0 <= now - self._avoided_until < TRIAL_SECONDS
 
     def is_doubtful(self, now: float) -> bool:
-        """Return whether other workers are to be preferred."""
+        """Return whether other workers are preferred because of recent failures."""
         if not self._failed_jobs:
             return False
-        return self.is_on_trial(now) or now - self._last_failure_at < DOUBT_SECONDS
+        return self.is_on_trial(now) or now - self._last_failure_at < SUSPICION_SECONDS
--- a/src/onyxspoke/core/placement/open_starts.py
+++ b/src/onyxspoke/core/placement/open_starts.py
@@ -1,40 +1,41 @@
-"""Starts without an answer, which may yet be carried out by another life of their worker."""
+"""Start orders without an answer, which a later incarnation of the worker may still carry out."""
 
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import RunKey, WorkerId
 
-#: An order that is not answered may be carried out up to 12 s later, and one second is for clocks.
-LATE_ORDER_SECONDS = 13.0
+#: A worker may carry out an unanswered start order up to 12 s later; one more second allows for
+#: differences between clocks.
+LATE_START_SECONDS = 13.0
 
 
 class OpenStarts:
-    """Remembers, by the names of workers, starts for as long as they may be carried out.
+    """Remembers, by worker name, each start order for as long as it may still be carried out.
 
-    A name outlives what is known of a worker: one that is given up after its lease may be back
-    before its last orders have come to an end.
+    The orders are kept apart from the worker's other state, because a name outlives that state: a
+    worker that is removed after its lease expired may return before its last orders are void.
     """
 
     def __init__(self) -> None:
-        #: When each was ordered, oldest first.
+        #: When each start was ordered, oldest first.
         self._ordered_at: dict[tuple[WorkerId, RunKey], float] = {}
 
     def handle_ordered(self, worker_id: WorkerId, run: RunKey, now: float) -> None:
-        """A start is on its way."""
-        self._forget_old(now)
+        """Record a start order that is being sent."""
+        self._remove_void_starts(now)
         self._ordered_at[worker_id, run] = now
 
     def handle_answered(self, worker_id: WorkerId, run: RunKey) -> None:
-        """A start was answered: it was carried out, or never will be."""
+        """Forget a start order that was answered: it was carried out, or never will be."""
         self._ordered_at.pop((worker_id, run), None)
 
     def of_worker(self, worker_id: WorkerId, now: float) -> list[RunKey]:
-        """Return the starts that may yet be carried out by whichever life has the name."""
-        self._forget_old(now)
+        """Return the starts that any incarnation under this name may still carry out."""
+        self._remove_void_starts(now)
         return [run for name, run in self._ordered_at if name == worker_id]
 
-    def _forget_old(self, now: float) -> None:
-        for key, ordered_at in list(self._ordered_at.items()):
-            if now - ordered_at <= LATE_ORDER_SECONDS:
+    def _remove_void_starts(self, now: float) -> None:
+        for start, ordered_at in list(self._ordered_at.items()):
+            if now - ordered_at <= LATE_START_SECONDS:
                 return
-            del self._ordered_at[key]
+            del self._ordered_at[start]
--- a/src/onyxspoke/core/placement/pacing.py
+++ b/src/onyxspoke/core/placement/pacing.py
@@ -1,27 +1,30 @@
-"""How fast tasks that fill unused processors may work beside tasks that serve users.
+"""Throttle filler tasks, which use spare processors, where they run beside serving tasks.
 
-What fills disturbs what serves, by amounts that differ by image and change within seconds.
-So each worker has one pace for all that fills on it, lowered at once when the tail of a
-serving task comes near its target, and raised again in small steps.
+Filler tasks slow down serving tasks by an amount that depends on the images of both and changes
+within seconds.  Each worker therefore has one pace, in percent of full speed, for all its filler
+tasks.  The pace is cut at once when the tail latency of a serving task approaches its target, and
+is raised again in small steps.
 """
 
 from __future__ import annotations
 
 FULL_PERCENT = 100
-#: Share of the target over which the pace is cut by half, and over which to nothing.
-CAUTION_SHARE = 0.8
-LIMIT_SHARE = 1.0
-#: Share of the target under which the pace is raised.
-CALM_SHARE = 0.6
-RAISE_PERCENT = 10
-#: A pace shows in the worker's figures after so long.
-REACTION_SECONDS = 0.7
-#: Pauses between raises.
-RAISE_SECONDS = 0.8
+#: The pace is halved when the tail latency exceeds the first share of its target, and set to zero
+#: when it exceeds the second.
+HALVE_ABOVE_SHARE = 0.8
+PAUSE_ABOVE_SHARE = 1.0
+#: The pace is raised when the tail latency is below this share of its target.
+RAISE_BELOW_SHARE = 0.6
+RAISE_STEP_PERCENT = 10
+#: A change of the pace shows in the latencies that the worker reports after this many seconds, so
+#: the pace is not cut again earlier.
+CUT_INTERVAL_SECONDS = 0.7
+#: The shortest time between a change of the pace and a raise, in seconds.
+RAISE_INTERVAL_SECONDS = 0.8
 
 
 class WorkerPace:
-    """The pace of what fills on one worker."""
+    """The pace of the filler tasks on one worker, in percent of full speed."""
 
     __slots__ = ("_changed_at", "percent")
 
@@ -29,12 +32,20 @@
         self.percent = FULL_PERCENT
         self._changed_at = 0.0
 
-    def adapt(self, pressure: float, now: float) -> None:
-        """Change the pace by the worst tail of a serving task, as a share of its target."""
+    def adapt(self, latency_ratio: float, now: float) -> None:
+        """Adapt the pace to the highest ratio of a serving task's tail latency to its target."""
         elapsed = now - self._changed_at
-        if pressure > CAUTION_SHARE and self.percent > 0 and elapsed >= REACTION_SECONDS:
-            self.percent = 0 if pressure > LIMIT_SHARE else self.percent // 2
+        if (
+            latency_ratio > HALVE_ABOVE_SHARE
+            and self.percent > 0
+            and elapsed >= CUT_INTERVAL_SECONDS
+        ):
+            self.percent = 0 if latency_ratio > PAUSE_ABOVE_SHARE else self.percent // 2
             self._changed_at = now
-        elif pressure < CALM_SHARE and self.percent < FULL_PERCENT and elapsed >= RAISE_SECONDS:
-            self.percent = min(FULL_PERCENT, self.percent + RAISE_PERCENT)
+        elif (
+            latency_ratio < RAISE_BELOW_SHARE
+            and self.percent < FULL_PERCENT
+            and elapsed >= RAISE_INTERVAL_SECONDS
+        ):
+            self.percent = min(FULL_PERCENT, self.percent + RAISE_STEP_PERCENT)
             self._changed_at = now
--- a/src/onyxspoke/core/placement/placement_pass.py
+++ b/src/onyxspoke/core/placement/placement_pass.py
@@ -1,4 +1,4 @@
-"""What the parts of one pass of placement share."""
+"""State that the components of one placement pass share."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     policy : PolicySet
         The configuration in force.
     quotas : QuotaPass
-        What tenants may still start.
+        What each tenant may still start within its quota.
     now : float
-        The moment of the pass.
+        The time of the pass.
     room : ScratchRoom
-        What the pass has taken or held so far.
+        The free capacity of the workers, less what the pass has already used or reserved.
     minds_speed : bool
-        Whether workers' speeds count.
+        Whether the speeds of workers affect the choice among them.
     """
 
     policy: PolicySet
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -1,4 +1,7 @@
-"""Chooses which waiting tasks start now, and where: a pure function of what is known."""
+"""Choose which waiting tasks start now, and on which workers.
+
+The choice is a pure function of the known state of steps, workers, quotas and advice.
+"""
 
 from __future__ import annotations
 
@@ -15,8 +18,8 @@
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.queue_order import step_rank_of
 from onyxspoke.core.placement.renewal_room import RenewalRoom
-from onyxspoke.core.placement.reservations import RoomReservations
-from onyxspoke.core.placement.room_seeker import Eviction, RoomSeeker
+from onyxspoke.core.placement.reservations import CapacityReservations
+from onyxspoke.core.placement.room_seeker import CapacitySeeker, Eviction
 from onyxspoke.core.placement.spreading import (
     Candidate,
     StepPlacement,
@@ -28,56 +31,62 @@
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.tenants.ledger import QuotaPass
 
-#: Tasks placed in one pass at most, so that a pass stays short.
+#: The largest number of tasks placed in one pass, which bounds the duration of a pass.
 MAXIMUM_PLACEMENTS = 200
-#: A step that waits for room is looked at again after so long, in seconds.
-LOOK_AGAIN_SECONDS = 0.2
-#: Every other waiting step is looked at again after so long, in seconds, whatever is known of it:
-#: what was told, or lost, may have left it behind.
+#: A step that waits for capacity is evaluated again after this many seconds.
+REEVALUATION_SECONDS = 0.2
+#: Every other waiting step is evaluated again after this many seconds, even if no change is known
+#: that could help it.  This sweep guards against lost or missing notifications of changes.
 SWEEP_SECONDS = 1.0
-#: A gang that holds no room needs all of it at once, and is looked at so often at most, in seconds.
-GANG_PAUSE_SECONDS = 0.1
-#: Steps that are looked after in one pass while they wait, so that a pass stays short.
-MAXIMUM_LOOKED_AHEAD = 12
+#: A gang without a reservation is evaluated at most once in this many seconds: it needs capacity
+#: for all members at once, so a single gain of capacity rarely helps it.
+GANG_REEVALUATION_SECONDS = 0.1
+#: The largest number of steps for which one pass reserves capacity or chooses preemptions, which
+#: bounds the duration of a pass.  Gangs are not counted.
+MAXIMUM_CAPACITY_SEARCHES = 12
 
 
 class Placer:
-    """Places waiting tasks in their order; see ``queue_order``.
+    """Places waiting tasks in the order of ``queue_order``.
 
-    A step that found no room is looked at again only when a worker that is good for it has
-    gained room since: so a pass costs little however long the waiting line is.  A gang that
-    waits holds the room that it could use, so that what comes after it does not take it.
+    A step that found no free capacity is evaluated again only when a worker that it may use has
+    gained capacity since: a pass therefore costs little, however long the waiting queue is.  A
+    waiting gang reserves the capacity that it could use, so that steps behind it do not use it.
     """
 
     def __init__(
         self,
         table: WorkerTable,
-        desk: AdviceDesk,
+        advice_dispatcher: AdviceDesk,
         stop_seconds: float,
         minds_speed: bool = True,
     ) -> None:
         self._minds_speed = minds_speed
         self._table = table
-        self._desk = desk
-        #: Change number of the table at which a step was last looked at in vain.
-        self._blocked_at: dict[StepKey, int] = {}
-        self._reservations = RoomReservations(table)
-        self._seeker = RoomSeeker(desk, self._reservations, stop_seconds)
-        self._need = AdviceNeed(table, desk, stop_seconds)
-        self._gangs = GangPlacer(desk, self._reservations, self._need, stop_seconds)
-        #: When a step that waits for room is looked at next, though none was gained.
-        self._look_again_at: dict[StepKey, float] = {}
-        #: When a gang that holds no room is looked at next, at the earliest.
-        self._gang_look_at: dict[StepKey, float] = {}
+        self._advice_dispatcher = advice_dispatcher
+        #: The table's change number at the last evaluation of each step that found no capacity.
+        self._blocked_at_change: dict[StepKey, int] = {}
+        self._reservations = CapacityReservations(table)
+        self._capacity_seeker = CapacitySeeker(advice_dispatcher, self._reservations, stop_seconds)
+        self._advice_need = AdviceNeed(table, advice_dispatcher, stop_seconds)
+        self._gang_placer = GangPlacer(
+            advice_dispatcher, self._reservations, self._advice_need, stop_seconds
+        )
+        #: When each waiting step is evaluated next, even if no worker has gained capacity.
+        self._reevaluate_at: dict[StepKey, float] = {}
+        #: The earliest time of the next evaluation of each gang without a reservation.
+        self._gang_reevaluate_at: dict[StepKey, float] = {}
         self._overlooked: list[StepProgress] = []
-        #: Steps that came to wait for their tenants' quotas since the last call.
+        #: Steps that their tenants' quotas began to hold back since the last call.
         self._newly_over_quota: list[StepProgress] = []
 
     def take_evictions(self) -> list[Eviction]:
-        """Return the runs that are to give way since the last call."""
-        evictions = self._seeker.evictions + self._gangs.evictions
-        self._seeker.evictions, self._gangs.evictions = [], []
-        return evictions
+        """Return the preemptions that were chosen since the last call."""
+        preemption_requests = (
+            self._capacity_seeker.preemption_requests + self._gang_placer.preemption_requests
+        )
+        self._capacity_seeker.preemption_requests, self._gang_placer.preemption_requests = [], []
+        return preemption_requests
 
     def take_overlooked(self) -> list[StepProgress]:
         """Return the steps that only the sweep found startable since the last call."""
@@ -85,119 +94,141 @@
         return overlooked
 
     def take_newly_over_quota(self) -> list[StepProgress]:
-        """Return the steps that came to wait for their tenants' quotas since the last call."""
+        """Return the steps that their tenants' quotas began to hold back since the last call."""
         steps, self._newly_over_quota = self._newly_over_quota, []
         return steps
 
     def reconsider(self, key: StepKey) -> None:
-        """Look at a step anew: what is known of it has changed."""
-        self._blocked_at.pop(key, None)
+        """Evaluate a step in the next pass, because its known state has changed."""
+        self._blocked_at_change.pop(key, None)
 
     def reconsider_all(self) -> None:
-        """Look at every step anew."""
-        self._blocked_at.clear()
+        """Evaluate every step in the next pass."""
+        self._blocked_at_change.clear()
 
     def plan(
         self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaPass, now: float
     ) -> list[StepPlacement]:
-        """Return what starts now, with the room already taken into account.
+        """Return the tasks that start now, with their workers.
 
-        Room is tracked in a scratch copy; nothing of the workers is changed.
+        The capacity that the plan uses is tracked in a scratch copy; no run is added to a worker.
         """
         self._table.note_availability(now)
         self._forget_others({step.key for step in steps})
-        plan: list[StepPlacement] = []
-        current = PlacementPass(policy, quotas, now, minds_speed=self._minds_speed)
-        self._seeker.begin_pass(now)
-        self._need.begin_pass(now)
+        step_placements: list[StepPlacement] = []
+        placement_pass = PlacementPass(policy, quotas, now, minds_speed=self._minds_speed)
+        self._capacity_seeker.begin_pass(now)
+        self._advice_need.begin_pass(now)
         offers = _Offers(self._table)
-        changes = _Changes(self._table)
-        blocked_at: dict[StepKey, int] = {}
-        looked_ahead = count = 0
-        keeper = RenewalRoom(self._desk)
-        for step in keeper.in_order(steps, offers.of, current):
-            most = _tasks_within_quota(step, quotas)
+        capacity_gains = _CapacityGains(self._table)
+        blocked_at_change: dict[StepKey, int] = {}
+        search_count = placed_count = 0
+        renewals = RenewalRoom(self._advice_dispatcher)
+        for step in renewals.in_order(steps, offers.for_service, placement_pass):
+            max_tasks = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
-            if step.note_quota(most == 0, now):
+            if step.note_quota(max_tasks == 0, now):
                 self._newly_over_quota.append(step)
-            if most == 0:
+            if max_tasks == 0:
                 self._reservations.drop(step.key)
                 continue
             service = step.job.spec.queue.service
-            since = None if was_over_quota else self._blocked_at.get(step.key)
-            if since is not None and now < self._gang_look_at.get(step.key, -math.inf):
-                # What has changed meanwhile is looked at then.
-                blocked_at[step.key] = since
-                self._need.note_waiting(step, service, most)
+            blocked_since = None if was_over_quota else self._blocked_at_change.get(step.key)
+            if blocked_since is not None and now < self._gang_reevaluate_at.get(
+                step.key, -math.inf
+            ):
+                # The changes since then count when the gang is evaluated next.
+                blocked_at_change[step.key] = blocked_since
+                self._advice_need.note_waiting(step, service, max_tasks)
                 continue
-            may_look_ahead = not step.spec.gang and looked_ahead < MAXIMUM_LOOKED_AHEAD
-            is_due = now >= self._look_again_at.get(step.key, math.inf)
-            is_new = since is None or changes.may_help(step, since, self._desk)
-            left = most
-            if is_new or is_due:
+            may_search = not step.spec.gang and search_count < MAXIMUM_CAPACITY_SEARCHES
+            is_due = now >= self._reevaluate_at.get(step.key, math.inf)
+            may_start = blocked_since is None or capacity_gains.may_help(
+                step, blocked_since, self._advice_dispatcher
+            )
+            remaining_tasks = max_tasks
+            if may_start or is_due:
                 queue = policy.queue_of(step.job.spec)
-                offer = offers.of(queue.service)
-                placed = self._place_step(step, queue, offer, current, most)
-                self._look_again_at[step.key] = now + SWEEP_SECONDS
-                if may_look_ahead:
-                    looked_ahead += self._look_ahead(step, queue, placed, offer, current, most)
-                elif placed is not None and not is_new:
+                offer = offers.for_service(queue.service)
+                step_placement = self._place_step(step, queue, offer, placement_pass, max_tasks)
+                self._reevaluate_at[step.key] = now + SWEEP_SECONDS
+                if may_search:
+                    search_count += self._search_capacity(
+                        step, queue, step_placement, offer, placement_pass, max_tasks
+                    )
+                elif step_placement is not None and not may_start:
                     self._overlooked.append(step)
-                if placed is not None:
-                    left -= len(placed.placements)
-                    plan.append(placed)
-                    quotas.take(step.job.spec.tenant, step.needs, len(placed.placements))
-                    count += len(placed.placements)
-                    if count >= MAXIMUM_PLACEMENTS:
-                        return plan
+                if step_placement is not None:
+                    remaining_tasks -= len(step_placement.placements)
+                    step_placements.append(step_placement)
+                    quotas.take(step.job.spec.tenant, step.needs, len(step_placement.placements))
+                    placed_count += len(step_placement.placements)
+                    if placed_count >= MAXIMUM_PLACEMENTS:
+                        return step_placements
             else:
-                self._reservations.hold_again(step, current.room)
-            blocked_at[step.key] = self._table.change_number
-            self._need.note_waiting(step, service, left)
-            keeper.note_waiting(step, left)
-        self._blocked_at = blocked_at
-        return plan
+                self._reservations.hold_again(step, placement_pass.room)
+            blocked_at_change[step.key] = self._table.change_number
+            self._advice_need.note_waiting(step, service, remaining_tasks)
+            renewals.note_waiting(step, remaining_tasks)
+        self._blocked_at_change = blocked_at_change
+        return step_placements
 
     def _forget_others(self, waiting: set[StepKey]) -> None:
-        """Drop what is kept of steps that wait no longer."""
+        """Drop the state of steps that no longer wait."""
         self._reservations.drop_others(waiting)
-        for moments in (self._look_again_at, self._gang_look_at):
-            for key in moments.keys() - waiting:
-                del moments[key]
+        for times_by_step in (self._reevaluate_at, self._gang_reevaluate_at):
+            for key in times_by_step.keys() - waiting:
+                del times_by_step[key]
 
     def _place_step(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         offer: Offer,
-        current: PlacementPass,
-        most: int,
+        placement_pass: PlacementPass,
+        max_tasks: int,
     ) -> StepPlacement | None:
         if step.spec.gang:
-            placed = self._gangs.place(step, queue, offer, current)
-            if placed is None and not self._reservations.holds(step.key):
-                self._gang_look_at[step.key] = current.now + GANG_PAUSE_SECONDS
+            gang_placement = self._gang_placer.place(step, queue, offer, placement_pass)
+            if gang_placement is None and not self._reservations.holds(step.key):
+                self._gang_reevaluate_at[step.key] = placement_pass.now + GANG_REEVALUATION_SECONDS
             else:
-                self._gang_look_at.pop(step.key, None)
-            return placed
+                self._gang_reevaluate_at.pop(step.key, None)
+            return gang_placement
         may_fit = offer.may_fit(step.needs)
-        candidates = self._candidates(step, queue, offer, current.now)
+        candidates = self._candidates(step, queue, offer, placement_pass.now)
         if queue.advice is not None:
-            advice = self._desk.advice_on(step)
-            rank = step_rank_of(step, queue, current.now)
+            advice = self._advice_dispatcher.advice_on(step)
+            rank = step_rank_of(step, queue, placement_pass.now)
             if not advice.is_asking and (
-                advice.tickets or self._need.is_of_use(step, queue, rank, may_fit, current.now)
+                advice.tickets
+                or self._advice_need.is_of_use(step, queue, rank, may_fit, placement_pass.now)
             ):
                 chooser = AdviceChooser(
-                    step, offer, current.room, self._desk.good_share(queue.name)
+                    step, offer, placement_pass.room, self._advice_dispatcher.good_share(queue.name)
+                )
+                worker_ids = _workers_to_ask_about(
+                    queue.advice,
+                    advice,
+                    chooser,
+                    candidates,
+                    max_tasks,
+                    placement_pass.now,
+                    self._advice_dispatcher,
                 )
-                ask = _workers_to_ask(
-                    queue.advice, advice, chooser, candidates, most, current.now, self._desk
+                self._advice_dispatcher.want(
+                    step, queue.advice, worker_ids, rank, placement_pass.now
                 )
-                self._desk.want(step, queue.advice, ask, rank, current.now)
         if not may_fit or not candidates:
             return None
-        return place_tasks(step, candidates, current.room, most, current.now, current.minds_speed)
+        return place_tasks(
+            step,
+            candidates,
+            placement_pass.room,
+            max_tasks,
+            placement_pass.now,
+            placement_pass.minds_speed,
+        )
 
     def _candidates(
         self, step: StepProgress, queue: QueuePolicy, offer: Offer, now: float
@@ -206,72 +237,84 @@
         if queue.advice is None:
             candidates = [Candidate(worker, "") for worker in offer.workers.values()]
         else:
-            candidates = _with_tickets(self._desk.advice_on(step), offer, now)
+            candidates = _candidates_with_ticket(
+                self._advice_dispatcher.advice_on(step), offer, now
+            )
         return [item for item in candidates if has_label(item.worker, step)]
 
-    def _look_ahead(
+    def _search_capacity(
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        placed: StepPlacement | None,
+        step_placement: StepPlacement | None,
         offer: Offer,
-        current: PlacementPass,
-        most: int,
+        placement_pass: PlacementPass,
+        max_tasks: int,
     ) -> int:
-        """Look after a step of which tasks still wait for room; return 1 if that was so, or 0."""
-        if placed is not None and len(placed.placements) == min(most, len(step.waiting)):
+        """Reserve capacity or preempt for a step whose tasks wait; return 1 if any do, or 0."""
+        if step_placement is not None and len(step_placement.placements) == min(
+            max_tasks, len(step.waiting)
+        ):
             self._reservations.drop(step.key)
             return 0
-        self._look_again_at[step.key] = current.now + LOOK_AGAIN_SECONDS
-        advice = self._desk.advice_on(step) if queue.advice is not None else None
+        self._reevaluate_at[step.key] = placement_pass.now + REEVALUATION_SECONDS
+        advice = self._advice_dispatcher.advice_on(step) if queue.advice is not None else None
         counts = counts_on_workers(step)
         if advice is None:
-            offered = list(offer.workers.values())
+            offered_workers = list(offer.workers.values())
         else:
-            offered = [offer.workers[name] for name in advice.tickets if name in offer.workers]
+            offered_workers = [
+                offer.workers[name] for name in advice.tickets if name in offer.workers
+            ]
         workers = [
             worker
-            for worker in offered
+            for worker in offered_workers
             if has_label(worker, step)
-            and not worker.health.is_doubtful(current.now)
+            and not worker.health.is_doubtful(placement_pass.now)
             and counts.get(worker.worker_id, 0) < step.most_on_a_worker
         ]
-        total = offer.processors_milli
-        self._seeker.seek(step, queue, workers, total, current)
+        total_processors_milli = offer.processors_milli
+        self._capacity_seeker.reserve_or_preempt(
+            step, queue, workers, total_processors_milli, placement_pass
+        )
         return 1
 
 
-class _Changes:
-    """The workers that have gained room, or come into use, since a change number."""
+class _CapacityGains:
+    """The workers that gained capacity, or became available, since a change number."""
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
-        self._since: dict[int, list[Worker]] = {}
-
-    def may_help(self, step: StepProgress, since: int, desk: AdviceDesk) -> bool:
-        """Return whether one of them may run a step that found no room before."""
-        changed = self._since.get(since)
-        if changed is None:
-            changed = self._since[since] = self._table.changed_since(since)
-        if not changed:
+        self._workers_by_change: dict[int, list[Worker]] = {}
+
+    def may_help(
+        self, step: StepProgress, blocked_since: int, advice_dispatcher: AdviceDesk
+    ) -> bool:
+        """Return whether any of these workers may run a step that found no capacity before."""
+        changed_workers = self._workers_by_change.get(blocked_since)
+        if changed_workers is None:
+            changed_workers = self._workers_by_change[blocked_since] = self._table.changed_since(
+                blocked_since
+            )
+        if not changed_workers:
             return False
         needs = step.needs
-        advice = desk.known_advice(step.key)
-        for worker in changed:
+        advice = advice_dispatcher.known_advice(step.key)
+        for worker in changed_workers:
             if worker.fits(needs) and (advice is None or advice.may_run_on(worker.worker_id)):
                 return True
         return False
 
 
 class _Offers:
-    """The workers to which runs may go, by service."""
+    """The workers on which runs may be started, by service."""
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
         self._by_service: dict[str, Offer] = {}
 
-    def of(self, service: str) -> Offer:
-        """Return the offer of a service."""
+    def for_service(self, service: str) -> Offer:
+        """Return the offer of a service, which is created once in a pass."""
         offer = self._by_service.get(service)
         if offer is None:
             offer = Offer(self._table.offered(service))
@@ -280,7 +323,7 @@
 
 
 def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
-    """Return how many of a step's waiting tasks its tenant may start; of a gang all, or none."""
+    """Return how many waiting tasks of a step its tenant may start; of a gang all, or none."""
     tenant = step.job.spec.tenant
     if not tenant:
         return len(step.waiting)
@@ -290,34 +333,34 @@
     return min(slots, len(step.waiting))
 
 
-def _with_tickets(advice: StepAdvice, offer: Offer, now: float) -> list[Candidate]:
+def _candidates_with_ticket(advice: StepAdvice, offer: Offer, now: float) -> list[Candidate]:
     candidates = []
-    for worker_id, held in advice.tickets.items():
+    for worker_id, ticket in advice.tickets.items():
         worker = offer.workers.get(worker_id)
-        if worker is not None and now < held.use_before:
-            candidates.append(Candidate(worker, held.text))
+        if worker is not None and now < ticket.use_before:
+            candidates.append(Candidate(worker, ticket.text))
     return candidates
 
 
-def _workers_to_ask(
+def _workers_to_ask_about(
     policy: AdvicePolicy,
     advice: StepAdvice,
     chooser: AdviceChooser,
     candidates: list[Candidate],
-    most: int,
+    max_tasks: int,
     now: float,
-    desk: AdviceDesk,
+    advice_dispatcher: AdviceDesk,
 ) -> list[str]:
-    """Return the workers about which advice is missing and would help, for ``most`` tasks."""
+    """Return the workers for which tickets are missing that would let ``max_tasks`` tasks start."""
     if not advice.tickets:
-        return chooser.unknown(most, advice)
-    missing = most - sum(chooser.slots_now(item.worker) for item in candidates)
-    if missing <= 0:
+        return chooser.unknown(max_tasks, advice)
+    missing_count = max_tasks - sum(chooser.slots_now(item.worker) for item in candidates)
+    if missing_count <= 0:
         return []
-    renew = chooser.again_for_long if desk.has_shares else chooser.again
-    again = renew(missing, advice, now)
-    if again or now < advice.unknown_due_at:
-        return again
-    others = chooser.unknown_with_room(missing, advice)
-    advice.unknown_due_at = now + pause_seconds(policy, len(others))
-    return others
+    choose_renewals = chooser.again_for_long if advice_dispatcher.has_shares else chooser.again
+    renewals = choose_renewals(missing_count, advice, now)
+    if renewals or now < advice.unknown_due_at:
+        return renewals
+    unknown_workers = chooser.unknown_with_room(missing_count, advice)
+    advice.unknown_due_at = now + pause_seconds(policy, len(unknown_workers))
+    return unknown_workers
--- a/src/onyxspoke/core/placement/preemption.py
+++ b/src/onyxspoke/core/placement/preemption.py
@@ -1,7 +1,8 @@
-"""Which runs give way to a more urgent task: a pure function of what runs and what is wanted.
+"""Choose runs to preempt for a more urgent task: a pure function of the runs and the demand.
 
-Only runs of a queue that comes later give way, and only where stopping them loses next to
-nothing: those that keep checkpoints.  Tasks that last and members of gangs stay.
+Only runs of a lower-priority queue are preempted, and only if stopping them loses almost no work,
+which means that their tasks write checkpoints.  Long-running tasks and members of gangs are never
+preempted.
 """
 
 from __future__ import annotations
@@ -17,49 +18,59 @@
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.workers import Worker
 
-#: A run that ends by itself so soon is left alone, in seconds: a stop takes about as long.
-SOON_SECONDS = 0.6
-#: A run that was stopped is back where it was after about so long, in seconds: the stop, the wait
-#: for other room, and the restoring.
+#: A run that is expected to end within this many seconds is not preempted, because a stop takes
+#: about as long.
+ENDS_SOON_SECONDS = 0.6
+#: A preempted run is back at its former progress after about this many seconds: the stop, the wait
+#: for free capacity elsewhere, and the restore from its checkpoint.
 RESTART_SECONDS = 3.0
-#: What an accelerator counts beside processors when work is weighed, in thousandths of one.
-ACCELERATOR_MILLI = 8_000
+#: How much one accelerator adds to the cost of a preemption, in thousandths of a processor.
+ACCELERATOR_COST_MILLI = 8_000
 
 
 @dataclass(slots=True)
 class Preemption:
-    """Runs to be stopped on one worker, and what restoring them costs in thousandths of a core."""
+    """Runs to preempt on one worker, and the cost of restarting them.
+
+    Attributes
+    ----------
+    cost_milli : int
+        The resources that the runs use, in thousandths of a processor.
+    """
 
     worker: Worker
     runs: list[Run]
-    weight: int
+    cost_milli: int
 
 
 def choose_preemption(
     priority: int,
     needs: Needs,
     workers: list[Worker],
-    room: ScratchRoom,
+    capacity: ScratchRoom,
     policy: PolicySet,
     now: float,
 ) -> Preemption | None:
-    """Return the least work whose stop makes room for one task on one of these workers.
+    """Return the cheapest preemption on one of these workers that frees capacity for one task.
 
     Parameters
     ----------
     priority : int
-        Of the queue that wants the room; runs of later queues, with a higher number, give way.
+        The priority of the queue that needs the capacity.  Only runs of queues with a higher
+        number, which is a lower priority, are preempted.
     """
-    best: Preemption | None = None
+    cheapest: Preemption | None = None
     for worker in workers:
-        found = _choose_on(worker, priority, needs, room, policy, now)
-        if found is not None and (best is None or found.weight < best.weight):
-            best = found
-    return best
+        preemption = _choose_on_worker(worker, priority, needs, capacity, policy, now)
+        if preemption is not None and (
+            cheapest is None or preemption.cost_milli < cheapest.cost_milli
+        ):
+            cheapest = preemption
+    return cheapest
 
 
-def freed_soon(worker: Worker, now: float) -> Needs:
-    """Return the room on a worker that runs free which are being stopped, or end in a moment."""
+def capacity_freed_soon(worker: Worker, now: float) -> Needs:
+    """Return the capacity on a worker held by runs that are being stopped or will end soon."""
     freed = Needs()
     for run in worker.runs.values():
         if run.state is RunState.STOPPING or _ends_soon(run, now):
@@ -67,39 +78,41 @@
     return freed
 
 
-def _choose_on(
+def _choose_on_worker(
     worker: Worker,
     priority: int,
     needs: Needs,
-    room: ScratchRoom,
+    capacity: ScratchRoom,
     policy: PolicySet,
     now: float,
 ) -> Preemption | None:
-    free = room.free(worker)
-    victims = []
+    free = capacity.free(worker)
+    candidates = []
     for run in worker.runs.values():
         if run.state is RunState.STOPPING or _ends_soon(run, now):
             free = plus(free, run.needs)
-        elif _may_give_way(run, priority, policy) and not _would_be_late(run, now):
-            victims.append(run)
-    victims.sort(key=lambda run: (-_priority_of(run, policy), -_slack(run, now), run.key))
-    chosen = []
-    for run in victims:
+        elif _is_preemptible(run, priority, policy) and not _would_be_late(run, now):
+            candidates.append(run)
+    candidates.sort(
+        key=lambda run: (-_priority_of(run, policy), -_slack_seconds(run, now), run.key)
+    )
+    victims = []
+    for run in candidates:
         if slots_within(free, needs) > 0:
             break
-        chosen.append(run)
+        victims.append(run)
         free = plus(free, run.needs)
-    if not chosen or slots_within(free, needs) == 0:
+    if not victims or slots_within(free, needs) == 0:
         return None
-    for run in list(chosen):
-        without = minus(free, run.needs)
-        if slots_within(without, needs) > 0:
-            chosen.remove(run)
-            free = without
-    return Preemption(worker, chosen, sum(_weight(run) for run in chosen))
+    for run in list(victims):
+        free_without_run = minus(free, run.needs)
+        if slots_within(free_without_run, needs) > 0:
+            victims.remove(run)
+            free = free_without_run
+    return Preemption(worker, victims, sum(_cost_milli(run) for run in victims))
 
 
-def _may_give_way(run: Run, priority: int, policy: PolicySet) -> bool:
+def _is_preemptible(run: Run, priority: int, policy: PolicySet) -> bool:
     step = run.task.step.spec
     return (
         run.state is RunState.RUNNING
@@ -111,25 +124,25 @@
     )
 
 
-def _slack(run: Run, now: float) -> float:
-    """Return how long a run's job could still wait and be on time, in seconds."""
+def _slack_seconds(run: Run, now: float) -> float:
+    """Return how many seconds a run's job could still wait without missing its objective."""
     step = run.task.step
     objective_at = step.due_at + step.job.expected_objective_seconds
     return objective_at - now - remaining_seconds(run, now)
 
 
 def _would_be_late(run: Run, now: float) -> bool:
-    """Return whether a job that can be on time would not be, were this run stopped."""
-    return 0.0 < _slack(run, now) < RESTART_SECONDS
+    """Return whether a job that can still meet its objective would miss it if preempted now."""
+    return 0.0 < _slack_seconds(run, now) < RESTART_SECONDS
 
 
 def _ends_soon(run: Run, now: float) -> bool:
-    return run.state is RunState.RUNNING and remaining_seconds(run, now) < SOON_SECONDS
+    return run.state is RunState.RUNNING and remaining_seconds(run, now) < ENDS_SOON_SECONDS
 
 
 def _priority_of(run: Run, policy: PolicySet) -> int:
     return policy.queue_of(run.task.step.job.spec).priority
 
 
-def _weight(run: Run) -> int:
-    return run.needs.processors_milli + ACCELERATOR_MILLI * run.needs.accelerators
+def _cost_milli(run: Run) -> int:
+    return run.needs.processors_milli + ACCELERATOR_COST_MILLI * run.needs.accelerators
--- a/src/onyxspoke/core/placement/queue_order.py
+++ b/src/onyxspoke/core/placement/queue_order.py
@@ -1,10 +1,10 @@
-"""The order in which waiting steps are placed, and advice is asked for them.
+"""The order in which waiting steps are placed, and in which advice is requested for them.
 
-Last of all come jobs that are so late that nobody waits for them any more, of every queue: while
-much waits, one of them would only make another late, whose caller still waits.  Before them comes
-what tenants sent beyond their weights, and before that what they are owed.  Within these a queue's
-priority comes first; within a queue the steps whose jobs can still be done within their objective,
-by the time that they can afford to wait, and then those that can only be late.
+Steps of expired jobs come last in every queue: nobody waits for their results any more, and
+while others wait, placing them would only make those late.  Before them come jobs that their
+tenants submitted over their fair share, and first come jobs within it.  Within each of these
+groups the queue's priority decides.  Within one queue, steps whose jobs can still meet their
+objective come first, ordered by their latest start; steps of jobs that can only be late follow.
 """
 
 from __future__ import annotations
@@ -17,14 +17,15 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
 
-#: A job is of use until so many times its objective.
+#: A job expires once it can only finish after this multiple of its objective.
 EXPIRY_FACTOR = 3.0
-#: Estimates may be too high; a job counts as late when this share of them no longer fits.
+#: Estimates may be too high: a job counts as late only once even this share of its estimated
+#: remaining work can no longer finish within its objective.
 CERTAIN_SHARE = 0.7
 
 
 class Lateness(IntEnum):
-    """Whether a job can still be of use; the lowest goes first."""
+    """Whether a job can meet its objective, is late, or has expired; the lowest goes first."""
 
     ON_TIME = 0
     LATE = 1
@@ -32,11 +33,12 @@
 
 
 class StepRank(NamedTuple):
-    """A step's place in the waiting line; the lowest goes first.
+    """The rank of a step in the waiting queue; the lowest rank is placed first.
 
-    ``is_expired`` says that nobody waits for its job any more, ``is_beyond_share`` that its tenant
-    had handed in more than it is owed, ``latest_start`` is the second by which it should start,
-    ``step`` its number in the job.
+    ``is_expired`` says that nobody waits for the step's job any more.  ``is_beyond_share`` says
+    that the job's tenant was over its fair share when it submitted the job.  ``latest_start`` is
+    the time, in the holder's seconds, by which the step must start for its job to meet the
+    objective.  ``step`` is the number of the step in its job.
     """
 
     is_expired: bool
@@ -48,23 +50,24 @@
 
     @property
     def is_owed(self) -> bool:
-        """Whether somebody waits for the step's job, and its tenant is owed it."""
+        """Whether the job has not expired, and its tenant submitted it within its fair share."""
         return not (self.is_expired or self.is_beyond_share)
 
 
 def step_rank(step: StepProgress, policy: PolicySet, now: float) -> StepRank:
-    """Return a step's place, under the policy in force."""
+    """Return a step's rank under the configuration in force."""
     return step_rank_of(step, policy.queue_of(step.job.spec), now)
 
 
 def step_rank_of(step: StepProgress, queue: QueuePolicy, now: float) -> StepRank:
-    """Return a step's place, given its queue."""
+    """Return a step's rank in a given queue."""
     job = step.job
-    objective = job.expected_objective_seconds
-    # As ``step.expected_chain_seconds``, without the call: every waiting step comes here in a pass.
-    chain = step.chain_seconds * job.work.factor
-    latest_start = step.due_at + objective - chain
-    lateness = _lateness(step, objective, chain, now)
+    objective_seconds = job.expected_objective_seconds
+    # This equals ``step.expected_chain_seconds``.  It is computed here to save a call, because
+    # every pass ranks every waiting step.
+    chain_seconds = step.chain_seconds * job.work.factor
+    latest_start = step.due_at + objective_seconds - chain_seconds
+    lateness = _lateness(step, objective_seconds, chain_seconds, now)
     return StepRank(
         lateness is Lateness.EXPIRED,
         job.spec.is_beyond_share,
@@ -76,35 +79,41 @@
 
 
 def rank_as_of(rank: StepRank, step: StepProgress, now: float) -> StepRank:
-    """Return a step's place as it is now: its queue and its tenant's share stay as they were."""
-    objective = step.job.expected_objective_seconds
-    chain = step.expected_chain_seconds
-    lateness = _lateness(step, objective, chain, now)
+    """Return a step's rank with its lateness updated; priority and share stay as they were."""
+    objective_seconds = step.job.expected_objective_seconds
+    chain_seconds = step.expected_chain_seconds
+    lateness = _lateness(step, objective_seconds, chain_seconds, now)
     return rank._replace(
         is_expired=lateness is Lateness.EXPIRED,
         lateness=lateness,
-        latest_start=step.due_at + objective - chain,
+        latest_start=step.due_at + objective_seconds - chain_seconds,
     )
 
 
 def lateness_changes_at(step: StepProgress, now: float) -> float:
-    """Return when a step's lateness changes next, by what is known now; infinity if never."""
+    """Return when a step's lateness will change next; infinity if it will not change."""
     if step.spec.long_running:
         return math.inf
-    start = step.due_at - CERTAIN_SHARE * step.expected_chain_seconds
-    objective = step.job.expected_objective_seconds
-    for moment in (start + objective, start + EXPIRY_FACTOR * objective):
-        if moment > now:
-            return moment
+    # The due time less the work that is certain to remain.
+    adjusted_due_at = step.due_at - CERTAIN_SHARE * step.expected_chain_seconds
+    objective_seconds = step.job.expected_objective_seconds
+    for change_at in (
+        adjusted_due_at + objective_seconds,
+        adjusted_due_at + EXPIRY_FACTOR * objective_seconds,
+    ):
+        if change_at > now:
+            return change_at
     return math.inf
 
 
-def _lateness(step: StepProgress, objective: float, chain: float, now: float) -> Lateness:
+def _lateness(
+    step: StepProgress, objective_seconds: float, chain_seconds: float, now: float
+) -> Lateness:
     if step.spec.long_running:
         return Lateness.ON_TIME
-    earliest_end = now + CERTAIN_SHARE * chain
-    if earliest_end <= step.due_at + objective:
+    earliest_end = now + CERTAIN_SHARE * chain_seconds
+    if earliest_end <= step.due_at + objective_seconds:
         return Lateness.ON_TIME
-    if earliest_end <= step.due_at + EXPIRY_FACTOR * objective:
+    if earliest_end <= step.due_at + EXPIRY_FACTOR * objective_seconds:
         return Lateness.LATE
     return Lateness.EXPIRED
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -1,8 +1,9 @@
-"""Room kept back for gangs that wait for more of it, so that smaller tasks do not take it.
+"""Reservations of free capacity for waiting gangs and steps.
 
-A gang starts only when every member has room.  Without a reservation tasks that need less go
-past it again and again, and a large gang waits for as long as the cell is busy.  What is held
-is worked out anew whenever a gang is looked at; in between the same room is held again.
+A gang starts only when every member has free capacity.  Without reservations smaller tasks would
+start ahead of it again and again, and a large gang would wait for as long as the cell is busy.
+Each time a step is evaluated its reservation is recomputed; passes that skip the step repeat the
+same reservation.
 """
 
 from __future__ import annotations
@@ -16,20 +17,21 @@
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
 
-#: Share of a service's processors that waiting gangs may hold, the first gang apart.
+#: A further step may reserve capacity only while the existing reservations hold at most this share
+#: of a service's processors.
 HELD_SHARE = 0.2
 
 
 @dataclass(slots=True)
 class MemberSlots:
-    """So many members of a gang on one worker."""
+    """The number of members of a gang, or tasks of a step, that one worker has capacity for."""
 
     worker: Worker
     count: int
 
 
 @dataclass(slots=True)
-class _Holding:
+class _Reservation:
     step: StepProgress
     slots: list[MemberSlots]
     since: float
@@ -39,65 +41,67 @@
         return sum(item.count for item in self.slots) * self.step.needs.processors_milli
 
 
-class RoomReservations:
-    """What is held, by the step that waits for it."""
+class CapacityReservations:
+    """The reserved capacity of each step that waits for more."""
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
-        self._held: dict[StepKey, _Holding] = {}
+        self._reservations: dict[StepKey, _Reservation] = {}
 
     def holds(self, key: StepKey) -> bool:
-        """Return whether room is held for a step."""
-        return key in self._held
+        """Return whether a step has a reservation."""
+        return key in self._reservations
 
     def held_since(self, key: StepKey) -> float | None:
-        """Return since when room is held for a step, if any is."""
-        holding = self._held.get(key)
-        return None if holding is None else holding.since
+        """Return since when a step has had a reservation, or ``None`` if it has none."""
+        reservation = self._reservations.get(key)
+        return None if reservation is None else reservation.since
 
     def hold(
-        self, step: StepProgress, slots: list[MemberSlots], room: ScratchRoom, now: float
+        self, step: StepProgress, slots: list[MemberSlots], capacity: ScratchRoom, now: float
     ) -> None:
-        """Hold room, instead of what was held for the step before."""
-        former = self._held.get(step.key)
-        since = now if former is None else former.since
-        self._held[step.key] = _Holding(step, slots, since)
-        if former is not None:
-            self._release(former, {item.worker.worker_id for item in slots})
-        self.hold_again(step, room)
-
-    def hold_again(self, step: StepProgress, room: ScratchRoom) -> None:
-        """Hold in a new pass what is held already."""
-        holding = self._held.get(step.key)
-        if holding is not None:
-            for item in holding.slots:
-                room.take(item.worker, step.needs, item.count)
+        """Reserve capacity for a step, in place of its previous reservation."""
+        previous = self._reservations.get(step.key)
+        since = now if previous is None else previous.since
+        self._reservations[step.key] = _Reservation(step, slots, since)
+        if previous is not None:
+            self._release(previous, {item.worker.worker_id for item in slots})
+        self.hold_again(step, capacity)
+
+    def hold_again(self, step: StepProgress, capacity: ScratchRoom) -> None:
+        """Apply a step's existing reservation in a new pass."""
+        reservation = self._reservations.get(step.key)
+        if reservation is not None:
+            for item in reservation.slots:
+                capacity.take(item.worker, step.needs, item.count)
 
     def drop(self, key: StepKey) -> None:
-        """Hold nothing more for a step."""
-        holding = self._held.pop(key, None)
-        if holding is not None:
-            self._release(holding, set())
+        """Release the reservation of a step."""
+        reservation = self._reservations.pop(key, None)
+        if reservation is not None:
+            self._release(reservation, set())
 
     def drop_others(self, waiting: set[StepKey]) -> None:
-        """Hold nothing more for steps that wait no longer."""
-        for key in [key for key in self._held if key not in waiting]:
+        """Release the reservations of all steps that no longer wait."""
+        for key in [key for key in self._reservations if key not in waiting]:
             self.drop(key)
 
     def is_within_share(self, total_processors_milli: int) -> bool:
-        """Return whether one more gang may hold room in a service of this size."""
-        held = sum(holding.processors_milli for holding in self._held.values())
-        return held <= HELD_SHARE * total_processors_milli
-
-    def _release(self, holding: _Holding, kept: set[str]) -> None:
-        """Let the steps that found no room look again at what is held no more."""
-        for item in holding.slots:
-            if item.worker.worker_id not in kept:
+        """Return whether one more step may reserve capacity in a service of this size."""
+        reserved_milli = sum(
+            reservation.processors_milli for reservation in self._reservations.values()
+        )
+        return reserved_milli <= HELD_SHARE * total_processors_milli
+
+    def _release(self, reservation: _Reservation, kept_worker_ids: set[str]) -> None:
+        """Mark released capacity as gained, so that blocked steps are evaluated again."""
+        for item in reservation.slots:
+            if item.worker.worker_id not in kept_worker_ids:
                 self._table.note_gain(item.worker)
 
 
 def can_ever_fit(step: StepProgress, workers: list[Worker]) -> bool:
-    """Return whether a gang has room on these workers when nothing else runs there."""
+    """Return whether a whole gang fits on these workers when nothing else runs there."""
     needs = step.needs
-    room = sum(slots_within(worker.record.capacity, needs) for worker in workers)
-    return room >= len(step.tasks)
+    slot_count = sum(slots_within(worker.record.capacity, needs) for worker in workers)
+    return slot_count >= len(step.tasks)
--- a/src/onyxspoke/core/placement/room.py
+++ b/src/onyxspoke/core/placement/room.py
@@ -1,4 +1,4 @@
-"""Room as one pass of placement sees it: what workers have free, less what the pass has taken."""
+"""Free capacity of workers during one placement pass, less what the pass has already used."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class ScratchRoom:
-    """Room that a pass has taken so far, by worker; nothing of the workers is changed."""
+    """Tracks the capacity that a pass uses on each worker, without changing the workers."""
 
     def __init__(self) -> None:
         self._taken: dict[str, Needs] = {}
 
     def has_taken_of(self, worker: Worker) -> bool:
-        """Return whether the pass has taken room of a worker."""
+        """Return whether the pass has used capacity of a worker."""
         return worker.worker_id in self._taken
 
     def take_all(self, worker: Worker) -> None:
-        """Take whatever a worker has left, so that nothing more of the pass goes there."""
+        """Use all capacity of a worker, so that the pass places nothing more on it."""
         self._taken[worker.worker_id] = worker.record.capacity
 
     def fits(self, worker: Worker, needs: Needs) -> bool:
-        """Return whether a worker has room left for one more task."""
+        """Return whether a worker has free capacity for one more task."""
         taken = self._taken.get(worker.worker_id)
         if taken is None:
             return worker.fits(needs)
@@ -33,26 +33,28 @@
         )
 
     def free(self, worker: Worker) -> Needs:
-        """Return what a worker has left; below zero where more is held than there is."""
+        """Return a worker's free capacity; negative if its runs hold more than the worker has."""
         taken = self._taken.get(worker.worker_id)
         if taken is None:
             return Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
-        have = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
-        return minus(have, taken)
+        free_before_pass = Needs(
+            worker.free_processors, worker.free_memory, worker.free_accelerators
+        )
+        return minus(free_before_pass, taken)
 
-    def slots(self, worker: Worker, needs: Needs, more: Needs | None = None) -> int:
-        """Return for how many more tasks a worker has room left, with ``more`` room than now."""
+    def slots(self, worker: Worker, needs: Needs, additional: Needs | None = None) -> int:
+        """Return how many more tasks fit on a worker, with ``additional`` capacity if given."""
         free = self.free(worker)
-        if more is not None:
-            free = plus(free, more)
+        if additional is not None:
+            free = plus(free, additional)
         return slots_within(free, needs)
 
     def free_processors(self, worker: Worker) -> int:
-        """Return a worker's processors that are left, in thousandths."""
+        """Return a worker's free processors, in thousandths of a processor."""
         taken = self._taken.get(worker.worker_id)
         return worker.free_processors - (taken.processors_milli if taken else 0)
 
     def take(self, worker: Worker, needs: Needs, count: int = 1) -> None:
-        """Take room for so many tasks."""
+        """Use capacity of a worker for ``count`` tasks."""
         taken = self._taken.get(worker.worker_id, Needs())
         self._taken[worker.worker_id] = plus(taken, times(needs, count))
--- a/src/onyxspoke/core/placement/room_seeker.py
+++ b/src/onyxspoke/core/placement/room_seeker.py
@@ -1,8 +1,9 @@
-"""What is done for a step that found no room: hold room, have others give way.
+"""Reserve capacity, or choose runs to preempt, for steps whose tasks found no free capacity.
 
-One worker at a time: the one that has room soonest.  Room that is there, or comes within a
-moment, is held, so that what comes later does not take it; and where none comes soon, later
-queues give way, once there is a ticket for the room that they make.
+Each step considers one worker at a time: the worker that is expected to have enough free capacity
+first.  Capacity that is free now or within a moment is reserved, so that later steps do not use
+it.  If no worker will have capacity soon, runs of lower-priority queues are preempted, but only
+once the step has a ticket that is still valid when the capacity becomes free.
 """
 
 from __future__ import annotations
@@ -13,135 +14,168 @@
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.advice_choice import FEWEST_ASKED
 from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.forecast import RoomForecast
+from onyxspoke.core.placement.forecast import CapacityForecast
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.preemption import Preemption, choose_preemption
 from onyxspoke.core.placement.queue_order import Lateness, step_rank_of
-from onyxspoke.core.placement.reservations import MemberSlots, RoomReservations
+from onyxspoke.core.placement.reservations import CapacityReservations, MemberSlots
 from onyxspoke.core.placement.workers import Worker
 
-#: Room that is expected within so long is held, in seconds.
-HOLD_AHEAD_SECONDS = 0.6
-#: Others give way only where room would come later than this, in seconds; a stop, the look that
-#: shows its end and the restart of what was stopped take about as long.
-GAIN_SECONDS = 1.0
-#: Others give way only for a ticket that is good for the stop and so much longer, in seconds: the
-#: look that shows their end, and the order to start.
-TICKET_RESERVE_SECONDS = 0.45
+#: Capacity that is expected to be free within this many seconds is reserved.
+RESERVE_AHEAD_SECONDS = 0.6
+#: Runs are preempted only if capacity would otherwise become free later than this, in seconds.
+#: Stopping a run, observing its end and restarting the preempted task take about as long.
+PREEMPT_IF_LATER_SECONDS = 1.0
+#: Runs are preempted only for a ticket that stays valid for this many seconds after their stop:
+#: the time for the poll that observes their end, and for the start order.
+TICKET_MARGIN_SECONDS = 0.45
 
 
 @dataclass(slots=True)
 class Eviction:
-    """Runs that give way to a step."""
+    """A preemption, and the step for which it frees capacity."""
 
     step: StepProgress
     preemption: Preemption
 
 
-class RoomSeeker:
-    """Looks after steps that wait for room.
+class CapacitySeeker:
+    """Reserves capacity, or chooses runs to preempt, for steps that wait for capacity.
 
     Parameters
     ----------
     stop_seconds : float
-        How long a stop takes at most.
+        The longest time that stopping a run takes, in seconds.
     """
 
     def __init__(
-        self, desk: AdviceDesk, reservations: RoomReservations, stop_seconds: float
+        self, advice_dispatcher: AdviceDesk, reservations: CapacityReservations, stop_seconds: float
     ) -> None:
-        self._desk = desk
+        self._advice_dispatcher = advice_dispatcher
         self._reservations = reservations
         self._stop_seconds = stop_seconds
-        self._forecast = RoomForecast(stop_seconds, 0.0)
-        self.evictions: list[Eviction] = []
+        self._forecast = CapacityForecast(stop_seconds, 0.0)
+        self.preemption_requests: list[Eviction] = []
 
     def begin_pass(self, now: float) -> None:
-        """Forget what was expected in an earlier pass of placement."""
-        self._forecast = RoomForecast(self._stop_seconds, now)
+        """Discard the forecast of the previous placement pass."""
+        self._forecast = CapacityForecast(self._stop_seconds, now)
 
-    def seek(
+    def reserve_or_preempt(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         workers: list[Worker],
         total_processors_milli: int,
-        current: PlacementPass,
+        placement_pass: PlacementPass,
     ) -> None:
-        """Look after a step; ``workers`` are those that may run it, room or not."""
+        """Reserve capacity for a step, or choose runs to preempt for it.
+
+        Parameters
+        ----------
+        workers : list of Worker
+            The workers that may run the step, whether or not they have free capacity.
+        total_processors_milli : int
+            The processors of the step's service, in thousandths of a processor.
+        """
         needs = step.needs
         forecasts = sorted(
-            (self._forecast.room_expected_at(worker, needs, current.room), worker.worker_id)
+            (
+                self._forecast.capacity_expected_at(worker, needs, placement_pass.room),
+                worker.worker_id,
+            )
             for worker in workers
         )
         if not forecasts:
             self._reservations.drop(step.key)
             return
-        by_id = {worker.worker_id: worker for worker in workers}
-        soonest_at, soonest_id = forecasts[0]
-        soonest = by_id[soonest_id]
-        if soonest_at - current.now > GAIN_SECONDS:
-            made = self._make_room(step, queue, workers, current)
-            if made is not None:
-                soonest, soonest_at = made, current.now + self._stop_seconds
+        workers_by_id = {worker.worker_id: worker for worker in workers}
+        earliest_at, earliest_worker_id = forecasts[0]
+        earliest_worker = workers_by_id[earliest_worker_id]
+        if earliest_at - placement_pass.now > PREEMPT_IF_LATER_SECONDS:
+            preempted_worker = self._preempt_for(step, queue, workers, placement_pass)
+            if preempted_worker is not None:
+                earliest_worker, earliest_at = (
+                    preempted_worker,
+                    placement_pass.now + self._stop_seconds,
+                )
         may_hold = self._reservations.holds(step.key) or self._reservations.is_within_share(
             total_processors_milli
         )
-        if may_hold and soonest_at - current.now <= HOLD_AHEAD_SECONDS:
-            self._reservations.hold(step, [MemberSlots(soonest, 1)], current.room, current.now)
+        if may_hold and earliest_at - placement_pass.now <= RESERVE_AHEAD_SECONDS:
+            self._reservations.hold(
+                step, [MemberSlots(earliest_worker, 1)], placement_pass.room, placement_pass.now
+            )
         else:
             self._reservations.drop(step.key)
 
-    def _make_room(
+    def _preempt_for(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         workers: list[Worker],
-        current: PlacementPass,
+        placement_pass: PlacementPass,
     ) -> Worker | None:
-        """Have later queues give way; return where, or ``None`` if that does not help."""
-        rank = step_rank_of(step, queue, current.now)
+        """Choose runs to preempt; return their worker, or ``None`` if no preemption helps."""
+        rank = step_rank_of(step, queue, placement_pass.now)
         if rank.is_beyond_share or rank.lateness is Lateness.EXPIRED:
             return None
         if queue.advice is not None:
-            tickets = self._desk.advice_on(step).tickets
-            usable_until = current.now + self._stop_seconds + TICKET_RESERVE_SECONDS
-            ready = [
-                worker for worker in workers if tickets[worker.worker_id].use_before > usable_until
+            tickets = self._advice_dispatcher.advice_on(step).tickets
+            needed_until = placement_pass.now + self._stop_seconds + TICKET_MARGIN_SECONDS
+            workers_with_ticket = [
+                worker for worker in workers if tickets[worker.worker_id].use_before > needed_until
             ]
-            if not ready:
-                self._ask_for(step, queue, workers, current)
+            if not workers_with_ticket:
+                self._request_tickets(step, queue, workers, placement_pass)
                 return None
-            workers = ready
-        found = choose_preemption(
-            queue.priority, step.needs, workers, current.room, current.policy, current.now
+            workers = workers_with_ticket
+        preemption = choose_preemption(
+            queue.priority,
+            step.needs,
+            workers,
+            placement_pass.room,
+            placement_pass.policy,
+            placement_pass.now,
         )
-        if found is None:
+        if preemption is None:
             return None
-        self.evictions.append(Eviction(step, found))
-        return found.worker
+        self.preemption_requests.append(Eviction(step, preemption))
+        return preemption.worker
 
-    def _ask_for(
-        self, step: StepProgress, queue: QueuePolicy, workers: list[Worker], current: PlacementPass
+    def _request_tickets(
+        self,
+        step: StepProgress,
+        queue: QueuePolicy,
+        workers: list[Worker],
+        placement_pass: PlacementPass,
     ) -> None:
-        advice = self._desk.advice_on(step)
+        advice = self._advice_dispatcher.advice_on(step)
         if queue.advice is None or advice.is_asking:
             return
-        if self._desk.has_shares:
-            workers = _most_useful(step, queue, workers, current)
-        names = [worker.worker_id for worker in workers]
-        rank = step_rank_of(step, queue, current.now)
-        self._desk.want(step, queue.advice, names, rank, current.now)
+        if self._advice_dispatcher.has_shares:
+            workers = _preemption_workers(step, queue, workers, placement_pass)
+        worker_ids = [worker.worker_id for worker in workers]
+        rank = step_rank_of(step, queue, placement_pass.now)
+        self._advice_dispatcher.want(step, queue.advice, worker_ids, rank, placement_pass.now)
 
 
-def _most_useful(
-    step: StepProgress, queue: QueuePolicy, workers: list[Worker], current: PlacementPass
+def _preemption_workers(
+    step: StepProgress, queue: QueuePolicy, workers: list[Worker], placement_pass: PlacementPass
 ) -> list[Worker]:
-    """Return the workers on which others would give way, the best in front; none if they don't."""
-    best = choose_preemption(
-        queue.priority, step.needs, workers, current.room, current.policy, current.now
+    """Return the workers to ask about, the one with the cheapest preemption first.
+
+    The list has at most ``FEWEST_ASKED`` workers; it is empty if no run can be preempted.
+    """
+    cheapest = choose_preemption(
+        queue.priority,
+        step.needs,
+        workers,
+        placement_pass.room,
+        placement_pass.policy,
+        placement_pass.now,
     )
-    if best is None:
+    if cheapest is None:
         return []
-    others = [worker for worker in workers if worker is not best.worker]
-    return [best.worker, *others][:FEWEST_ASKED]
+    other_workers = [worker for worker in workers if worker is not cheapest.worker]
+    return [cheapest.worker, *other_workers][:FEWEST_ASKED]
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks on workers, one by one or in gangs."""
+"""Runs of tasks on workers, single runs and the runs of gangs."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 if TYPE_CHECKING:
     from onyxspoke.core.placement.workers import Worker
 
-#: A run without progress for so long, in seconds, and this share of its time, stands still.
+#: A run has stalled once it made no progress for this many seconds plus this share of its expected
+#: duration.
 STALL_SECONDS = 1.6
 STALL_ESTIMATE_SHARE = 0.2
-#: A gang may take so much longer to begin, in seconds.
-GANG_START_SECONDS = 3.0
+#: Additional seconds that a gang may take until its members report their first progress.
+GANG_START_EXTRA_SECONDS = 3.0
 
 
 class GangRun:
-    """One run of a whole gang: its members share the number.
+    """One run of a whole gang; all its members have the same run number.
 
     Attributes
     ----------
     members : list of Run
         Every run of the gang, ended or not.
     is_broken : bool
-        A member ended otherwise than well, or never began: the others are to end too.
+        Whether a member ended without success, or never started, so that the others are stopped.
     counts_as_failure : bool
-        A member ended ``failed``.
+        Whether a member ended with the result ``failed``.
     is_told : bool
-        Its end was taken for what it tells of durations.
+        Whether the end of the gang was already processed for the duration estimates.
     """
 
     __slots__ = ("counts_as_failure", "is_broken", "is_told", "members", "number", "step")
@@ -46,38 +47,40 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether no member can still be at work."""
+        """Whether every member has ended."""
         return all(member.state is RunState.ENDED for member in self.members)
 
 
 class Run:
-    """One start of one task on one worker; it holds the worker's room until it has ended.
+    """One execution of a task on a worker; it holds the worker's capacity until it has ended.
 
     Attributes
     ----------
     until_ms : int
-        Worker's clock after which the order to start is void.
+        The reading of the worker's clock, in milliseconds, after which the start order is void.
     ordered_at : float
-        When its start was ordered by this holder; 0 for one that a former holder ordered.
+        When this holder ordered the start; 0 if a previous holder ordered it.
     sent_at : float
-        When the order was sent, in the holder's seconds.
+        When the start order was sent, in the holder's seconds.
     confirmed_at : float
-        When the worker first said that it has the run; 0 before.
+        When the worker first confirmed that it has the run; 0 before.
     listed_at : float
-        When a list of the worker last held the run; 0 before.
+        When the worker last listed the run as running; 0 before.
     percent : int
-        Progress by the worker's word.
+        The progress that the worker reports, in percent.
     is_resumed : bool
-        Its work began in an earlier run, or before this holder: its progress does not count from
-        its start.
+        Whether the work began in an earlier run or under a previous holder, so that the progress
+        does not start from zero at the start of this run.
     moved_at : float
-        When the percentage last rose.
+        When the reported progress last changed.
     usage : int
-        Rough figure of the worker: processors in use, or the tail of answer times.
+        A coarse figure that the worker reports: the processors in use or, for a serving task, its
+        tail latency in milliseconds.
     evidence : RunEvidence or None
-        What its progress has told of durations.
+        What the progress of the run shows about task durations.
     pace_percent, pace_wanted : int
-        Share at which the run may work: as acknowledged, and as last ordered.
+        The share of full speed at which a filler run may work: the value that the worker last
+        acknowledged, and the value that was last ordered.
     """
 
     __slots__ = (
@@ -138,12 +141,12 @@
 
     @property
     def key(self) -> RunKey:
-        """The run's name."""
+        """The key that identifies the run."""
         return RunKey(self.task.key, self.number)
 
     @property
     def expected_seconds(self) -> float:
-        """How long the whole task is expected to take here; of a gang, its slowest member."""
+        """The expected duration of the whole task here; for a gang that of its slowest member."""
         if self.gang is None:
             factor = self.worker.speed.factor
         else:
@@ -151,32 +154,33 @@
         return self.task.step.expected_seconds * factor
 
     def move_to(self, state: RunState) -> None:
-        """Change the state."""
+        """Change the state; the transition must be a permitted one."""
         if state is not self.state:
             check_run_transition(self.state, state)
             self.state = state
 
 
 def is_stalled(run: Run, seen_at: float) -> bool:
-    """Return whether a run has made no progress for longer than a slow worker would take.
+    """Return whether a run has made no progress for longer than even a slow worker would need.
 
-    ``seen_at`` is when its progress was last told.  Tasks that run until they are stopped
-    tell no progress; members of a gang wait for each other at the start and at the end.
+    ``seen_at`` is the time of the worker's last report.  Long-running tasks report no progress and
+    never count as stalled.  Members of a gang wait for each other at the start and at the end, so
+    the latest progress of any member counts for all.
     """
     step = run.task.step.spec
     if step.long_running or not run.confirmed_at:
         return False
-    # A factor below 1 may be wrong for this task: it never has a sound run stopped sooner.
-    seconds = max(run.expected_seconds, estimated_seconds(run))
-    bound = STALL_SECONDS + STALL_ESTIMATE_SHARE * seconds
+    # A speed factor below 1 may be wrong for this task, so it never shortens the limit.
+    expected_seconds = max(run.expected_seconds, estimated_seconds(run))
+    limit_seconds = STALL_SECONDS + STALL_ESTIMATE_SHARE * expected_seconds
     moved_at = run.moved_at
     if run.gang is not None:
         moved_at = max(member.moved_at for member in run.gang.members)
-        bound += GANG_START_SECONDS if run.percent == 0 else 0.0
-    return seen_at - moved_at > bound
+        limit_seconds += GANG_START_EXTRA_SECONDS if run.percent == 0 else 0.0
+    return seen_at - moved_at > limit_seconds
 
 
 def run_name(key: RunKey) -> str:
-    """Return how a run's task is named in logs."""
+    """Return the name of a run's task in log lines."""
     task = key.task
     return f"{task.job_id}.{task.repetition}.{task.step}.{task.task_index}"
--- a/src/onyxspoke/core/placement/worker_clock.py
+++ b/src/onyxspoke/core/placement/worker_clock.py
@@ -1,14 +1,14 @@
-"""The steady clocks of workers, as a shard's holder reads them."""
+"""The monotonic clocks of workers, as the holder of a shard estimates them."""
 
 from __future__ import annotations
 
-#: A worker's steady clock may run this much slower than ours.
+#: The holder's clock may run faster than a worker's monotonic clock by up to this factor.
 SLOWEST_CLOCK_FACTOR = 1.02
 _MILLISECONDS = 1_000.0
 
 
 class WorkerClock:
-    """A worker's steady clock, read from its answers and estimated in between."""
+    """A worker's monotonic clock, read from its answers and estimated between them."""
 
     __slots__ = ("_read_at", "_read_ms", "is_known")
 
@@ -19,21 +19,21 @@
 
     @property
     def last_ms(self) -> int:
-        """The latest reading."""
+        """The latest reading, in milliseconds."""
         return self._read_ms
 
     def read(self, clock_ms: int, now: float) -> None:
-        """Take a reading; answers may pass each other, so only a later one counts."""
+        """Record a reading.  Answers may arrive out of order, so an earlier reading is ignored."""
         if clock_ms >= self._read_ms:
             self._read_ms = clock_ms
             self._read_at = now
             self.is_known = True
 
     def estimate_ms(self, now: float) -> int:
-        """Return what the clock shows now, or a little more."""
+        """Return the estimated reading at this moment, which may be slightly too high."""
         return self._read_ms + int((now - self._read_at) * _MILLISECONDS)
 
-    def moment_past(self, clock_ms: int) -> float:
-        """Return the holder's second by which the clock has certainly passed a reading."""
-        ahead = (clock_ms - self._read_ms) / _MILLISECONDS
-        return self._read_at + ahead * SLOWEST_CLOCK_FACTOR
+    def passes_at(self, clock_ms: int) -> float:
+        """Return the holder's time by which the worker's clock has certainly passed a reading."""
+        ahead_seconds = (clock_ms - self._read_ms) / _MILLISECONDS
+        return self._read_at + ahead_seconds * SLOWEST_CLOCK_FACTOR
--- a/src/onyxspoke/core/placement/worker_pace.py
+++ b/src/onyxspoke/core/placement/worker_pace.py
@@ -1,4 +1,4 @@
-"""Which workers suit a step where some are slower than others, by when it would end there."""
+"""Prefer workers for a step by their speed, so that fast workers serve the steps short of time."""
 
 from __future__ import annotations
 
@@ -8,50 +8,54 @@
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.workers import Worker
 
-#: Share of what a job can afford to wait that a slow worker may cost it; the rest is for what else
-#: may hold it up, and for its later steps.
+#: The share of a job's slack that a slow worker may use up.  The rest is kept for other delays and
+#: for the job's later steps.
 SLACK_SHARE = 0.5
-#: Workers whose factors differ by less are alike; factors are learned to about a tenth.
+#: Speed factors are rounded to multiples of this value, because they are learned only to about a
+#: tenth.  Workers with the same rounded factor count as equally fast.
 FACTOR_UNIT = 0.25
 
 
 class PaceTerms(NamedTuple):
-    """Parts of a worker's score; the lowest is best.
+    """The speed components of a worker's score; the lowest is best.
 
-    ``lateness`` is 0 where the job can be on time, and else grows with the worker's factor;
-    ``waste`` is lower the slower a worker is on which it can.
+    ``lateness`` is 0 if the job can meet its objective on the worker; otherwise it is higher for
+    slower workers.  ``waste`` is higher for faster workers on which the job meets its objective,
+    so that steps with slack leave the fast workers to others.
     """
 
     lateness: int
     waste: int
 
 
-#: Of all workers where none is known to be unlike the others.
+#: The score of every worker if all workers count as equally fast.
 ALIKE = PaceTerms(0, 0)
 
 
 class PaceChooser:
-    """Sends steps that are short of time to fast workers, and others to slow ones."""
+    """Prefers fast workers for steps that are short of time, and slow workers for other steps."""
 
     def __init__(self, step: StepProgress, now: float) -> None:
-        due_at = step.due_at + step.job.expected_objective_seconds
-        slack = due_at - now - step.expected_chain_seconds
-        seconds = step.expected_seconds
-        self._bearable = 1.0 + SLACK_SHARE * slack / seconds if seconds > 0.0 else 1.0
+        objective_at = step.due_at + step.job.expected_objective_seconds
+        slack_seconds = objective_at - now - step.expected_chain_seconds
+        step_seconds = step.expected_seconds
+        self._max_factor = (
+            1.0 + SLACK_SHARE * slack_seconds / step_seconds if step_seconds > 0.0 else 1.0
+        )
 
     def terms(self, worker: Worker) -> PaceTerms:
-        """Return what a worker's speed means for the step."""
+        """Return the score of a worker's speed for the step."""
         factor = worker.speed.factor
-        rank = round(factor / FACTOR_UNIT)
-        if factor <= self._bearable:
-            return PaceTerms(0, -rank)
-        return PaceTerms(rank, 0)
+        rounded_factor = round(factor / FACTOR_UNIT)
+        if factor <= self._max_factor:
+            return PaceTerms(0, -rounded_factor)
+        return PaceTerms(rounded_factor, 0)
 
 
 def pace_chooser(
     step: StepProgress, workers: Iterable[Worker], is_on: bool, now: float
 ) -> PaceChooser | None:
-    """Return the chooser for a step, or ``None`` where all workers count as alike."""
-    if not is_on or step.spec.long_running or all(item.speed.factor == 1.0 for item in workers):
+    """Return the speed preference of a step, or ``None`` if all workers count as equally fast."""
+    if not is_on or step.spec.long_running or all(worker.speed.factor == 1.0 for worker in workers):
         return None
     return PaceChooser(step, now)
--- a/src/onyxspoke/core/placement/worker_record.py
+++ b/src/onyxspoke/core/placement/worker_record.py
@@ -1,4 +1,4 @@
-"""Workers as the platform's directory lists them."""
+"""Workers as the directory of the platform lists them."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class WorkerListing(Enum):
-    """What the platform's directory says of a worker.
+    """How the directory of the platform lists a worker.
 
-    ``UNUSABLE``: its entry cannot be read as a worker's; it gets nothing new, and what runs there
-    goes on.
+    ``UNUSABLE``: the entry of the worker cannot be read.  The worker gets no new runs, and its
+    present runs continue.  ``GONE``: the directory no longer lists the worker.
     """
 
     READY = "ready"
@@ -23,14 +23,15 @@
 
 
 class WorkerRecord(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One life of a worker, as the platform's directory lists it.
+    """One incarnation of a worker, as the directory of the platform lists it.
 
     Attributes
     ----------
     remaining_ms : int
-        Time that a draining worker has left at least.
+        The shortest time until a draining worker stops, in milliseconds.
     born_ms : int
-        When the worker started, counted from 1970 on its own clock; 0 where it does not say.
+        When the worker started, in milliseconds since 1970 by its own clock; 0 if the entry does
+        not say.
     """
 
     worker_id: WorkerId
@@ -49,7 +50,7 @@
 
 
 class EntryFault(Enum):
-    """Why an entry of the directory names no worker to use."""
+    """Why a directory entry does not describe a usable worker."""
 
     UNREADABLE = "unreadable"
     UNKNOWN_STATE = "unknown_state"
@@ -60,7 +61,7 @@
 
 
 class UnusableEntry(msgspec.Struct, frozen=True):
-    """An entry of the directory that names no worker to use; another writer may have left it."""
+    """A directory entry that describes no usable worker; another program may have written it."""
 
     worker_id: WorkerId
     fault: EntryFault
--- a/src/onyxspoke/core/placement/worker_table.py
+++ b/src/onyxspoke/core/placement/worker_table.py
@@ -1,4 +1,4 @@
-"""All lives of workers that may run something for a shard, and those to which runs may go."""
+"""The incarnations of workers that may run something for a shard, and those open to new runs."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 
 class WorkerTable:
-    """All lives of workers that may run something for this shard."""
+    """All incarnations of workers that may run something for this shard."""
 
     def __init__(self) -> None:
         self.workers: dict[WorkerId, Worker] = {}
         self.open_starts = OpenStarts()
-        #: Those to which runs may go, by service, as they were last looked at.
+        #: The workers on which runs may be started, by service, at the last availability check.
         self._offered: dict[str, list[Worker]] = {}
-        #: Rises whenever some worker gains room or comes into use.
+        #: Increases whenever a worker gains free capacity or becomes available.
         self.change_number = 0
 
     def note_gain(self, worker: Worker) -> None:
-        """A worker has gained room, or come into use."""
+        """Record that a worker gained free capacity or became available."""
         self.change_number += 1
-        worker.gained_at = self.change_number
+        worker.gained_at_change = self.change_number
 
     def note_availability(self, now: float) -> None:
-        """Take note of the workers that are in use, and of those that have come into use."""
+        """Update which workers are available, and record those that became available."""
         self._offered.clear()
         for worker in self.workers.values():
             is_offered = worker.is_offered(now)
@@ -34,22 +34,24 @@
                     self.note_gain(worker)
             worker.was_offered = is_offered
 
-    def changed_since(self, number: int) -> list[Worker]:
-        """Return the workers that have gained room, or come into use, since a change."""
-        if number == self.change_number:
+    def changed_since(self, change_number: int) -> list[Worker]:
+        """Return the workers that gained capacity, or became available, since a change number."""
+        if change_number == self.change_number:
             return []
-        return [worker for worker in self.workers.values() if worker.gained_at > number]
+        return [
+            worker for worker in self.workers.values() if worker.gained_at_change > change_number
+        ]
 
     def offered(self, service: str) -> list[Worker]:
-        """Return the workers of a service to which runs may go; see ``note_availability``."""
+        """Return the available workers of a service, as of the last ``note_availability``."""
         return self._offered.get(service, [])
 
     def run_count(self) -> int:
-        """Return how many runs hold room."""
+        """Return how many runs hold capacity."""
         return sum(len(worker.runs) for worker in self.workers.values())
 
     def unsettled(self) -> list[Worker]:
-        """Return workers that may run what a former holder started there."""
+        """Return the workers that may still run something that a previous holder started."""
         return [
             worker
             for worker in self.workers.values()
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -1,4 +1,4 @@
-"""Workers as a shard's holder knows them: listing, contact, lease and room."""
+"""Workers as the holder of a shard knows them: listing, contact, lease and capacity."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 from onyxspoke.core.placement.worker_clock import WorkerClock
 from onyxspoke.core.placement.worker_record import WorkerListing, WorkerRecord
 
-#: Ends remembered of each worker.
-REMEMBERED_ENDS = 400
-#: Births remembered of the former lives of a name: entries of the directory lag by seconds, in
-#: which no worker starts more often.
+#: The largest number of ended runs remembered for each worker.
+MAX_ENDED_RUNS = 400
+#: The largest number of start times remembered for the previous incarnations of a worker name.  An
+#: entry of the directory may be out of date by seconds, and no worker restarts more often in that
+#: time.
 REMEMBERED_BIRTHS = 8
 
 
 class WorkerContact(Enum):
-    """What the holder knows of what a worker runs.
+    """What the holder knows about the runs on a worker.
 
-    ``UNSETTLED``: it may run anything.  ``SETTLED``: it has answered under this holder's
-    token, and every run on it is known.  ``SILENT``: settled before, but it does not answer.
-    ``OVER``: its life is over, and so is everything it ran.
+    ``UNSETTLED``: the worker may run anything.  ``SETTLED``: the worker has answered under this
+    holder's token, and every run on it is known.  ``SILENT``: its runs were known, but it no longer
+    answers.  ``OVER``: the incarnation has ended, and all its runs with it.
     """
 
     UNSETTLED = "unsettled"
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class HoldInFlight:
-    """A hold that is not answered yet; ``sent_at`` is 0 where there is none."""
+    """A hold request that is not answered yet; ``sent_at`` is 0 if there is none."""
 
     sent_at: float = 0.0
     number: int = 0
@@ -54,71 +55,80 @@
 
 
 class Worker:
-    """One life of a worker.
+    """One incarnation of a worker.
 
     Attributes
     ----------
     born_ms : int
-        What tells the life from others of that name; 0 until the worker has said it.
+        The start time, in milliseconds, which distinguishes this incarnation from others of the
+        same name; 0 until the worker has reported it.
     former_births : tuple of int
-        Of lives of that name that are over, the latest last; what tells of them is out of date.
+        The start times of ended incarnations of this name, the latest last; directory entries with
+        one of them are out of date.
     lapsed_until : float
-        Its entry went while the store was away, and may come back until then; 0 otherwise.
+        Until when the directory entry, which vanished while the store was unreachable, may come
+        back; 0 if the entry did not vanish.
     leaves_at : float
-        The holder's second until which a draining worker stays at least.
+        The earliest time, in the holder's seconds, at which a draining worker stops.
     runs : dict of RunKey to Run
-        Everything that may run there, each holding room.
+        Every run that may be active on the worker; each holds capacity.
     health : WorkerHealth
-        What its runs tell of it; one on trial gets one run at a time.
+        The health derived from the worker's runs; a worker on trial gets one run at a time.
     speed : WorkerSpeed
-        How long it takes for its work, compared with others.
+        How long the worker takes for its work, compared with other workers.
     strays : dict of RunKey to float
-        Runs there that stand for no task of the shard, and when their stop was sent; they
-        take room that is not known, so nothing is started beside them.
+        Runs on the worker that belong to no task of the shard, with the time when their stop was
+        sent.  They use an unknown amount of capacity, so no other run is started beside them.
     open_starts : dict of RunKey to float
-        Starts ordered to the former life that may yet be carried out here, and when their stop was
-        last sent; nothing is started beside them.
+        Starts ordered from a previous incarnation that this one may still carry out, with the time
+        when their stop was last sent.  No other run is started beside them.
     seen_through : int
-        Ends up to this number were taken in; each is told to the worker once committed.
+        The number of the last end report that was processed; it is acknowledged to the worker once
+        it is committed.
     told_through : int
-        Ends up to this number are committed, so that the worker may forget them.
+        The number of the last end report that is committed, so that the worker may forget all
+        reports up to it.
     unsettled_until : float
-        The holder's second by which any lease that a former holder granted is over.
+        The holder's time by which every lease that a previous holder granted has expired.
     is_recorded : bool
-        The store names it as a worker that may run something for the shard.
+        Whether the store records that this worker may run something for the shard.
     was_used_before : bool
-        A former holder may have started runs there.
+        Whether a previous holder may have started runs on the worker.
     lease_until_ms : int
-        Worker's clock until which this holder may have let things run.
+        The reading of the worker's clock, in milliseconds, until which this holder may have allowed
+        runs to continue.
     doubted_at : float
-        When an order was not answered, until a later look is; 0 otherwise.
+        When a start order was left without an answer; 0 once a later poll is answered.
     retry_at : float
-        Not offered before this second, after a refusal.
-    gained_at : int
-        Change number of the table when the worker last gained room or came into use.
+        No run is started on the worker before this time, after it refused a start.
+    gained_at_change : int
+        The table's change number when the worker last gained capacity or became available.
     listed_clock_ms : int
-        Worker's clock of the latest list of runs that was taken in.
+        The worker's clock, in milliseconds, in the latest list of runs that was processed.
     ended_runs : dict of RunKey to RunEnd
-        Runs that are over, so that an older answer does not bring them back.
+        Runs that have ended, so that an older answer does not bring them back.
     misses : int
-        Holds in a row without an answer.
+        The number of consecutive hold requests without an answer.
     heard_at : float
-        When it last answered anything.
-    was_refused : bool
-        Since then a look at it ended well before its time: its process was not there.
-    was_unanswered : bool
-        Since then a look at it ended with its time: it, or its answer, was lost.
+        When the worker last answered any request.
+    poll_poll_was_refused : bool
+        Whether a poll since that answer failed well before its time limit, which shows that the
+        worker's process was not there.
+    poll_timed_out : bool
+        Whether a poll since that answer reached its time limit, so that the request or its answer
+        was lost.
     first_heard_at : float
-        When it first did; infinity before.
-    last_contact_listing : WorkerListing
-        What the directory said of it then; of one never heard, what its record says.
+        When the worker first answered; infinity before.
+    listing_at_last_answer : WorkerListing
+        How the directory listed the worker when it last answered; before its first answer, the
+        listing in its record.
     kept_free_until : float
-        Nothing more is started there before this second, so that a task that may have crashed
-        workers begins apart from others.
+        No other run is started on the worker before this time, so that a task that may have crashed
+        workers starts apart from other tasks.
     """
 
     def __init__(self, record: WorkerRecord, unsettled_until: float) -> None:
-        #: The life's name.
+        #: The name of the worker, which other incarnations may share.
         self.worker_id = record.worker_id
         self.born_ms = record.born_ms
         self.former_births: tuple[int, ...] = ()
@@ -134,7 +144,7 @@
         self.speed = WorkerSpeed(record.worker_id, record.born_ms, record.kind)
         self.strays: dict[RunKey, float] = {}
         self.open_starts: dict[RunKey, float] = {}
-        #: What the runs that hold room there hold together.
+        #: The capacity that all runs on the worker hold together.
         self._held_processors = 0
         self._held_memory = 0
         self._held_accelerators = 0
@@ -148,13 +158,13 @@
         self.doubted_at = 0.0
         self.answered_at = 0.0
         self.heard_at = 0.0
-        self.was_refused = False
-        self.was_unanswered = False
+        self.poll_was_refused = False
+        self.poll_timed_out = False
         self.first_heard_at = math.inf
-        self.last_contact_listing = record.listing
+        self.listing_at_last_answer = record.listing
         self.kept_free_until = 0.0
         self.listed_clock_ms = 0
-        self.gained_at = 0
+        self.gained_at_change = 0
         self.was_offered = False
         self.ended_runs: dict[RunKey, RunEnd] = {}
         self.long_hold = HoldInFlight()
@@ -165,18 +175,18 @@
         self.silent_since = 0.0
 
     def move_to(self, contact: WorkerContact) -> None:
-        """Change what is known of the worker."""
+        """Change the contact state; the transition must be a permitted one."""
         if contact is not self.contact:
             assert contact in CONTACT_TRANSITIONS[self.contact]
             self.contact = contact
 
     @property
     def is_described(self) -> bool:
-        """Whether the record is of this life; the next one may have another kind and other room."""
+        """Whether the record describes this incarnation; others may differ in kind and capacity."""
         return self.record.born_ms in (0, self.born_ms)
 
     def is_offered(self, now: float) -> bool:
-        """Return whether runs may be started there."""
+        """Return whether runs may be started on the worker."""
         return (
             self.contact is WorkerContact.SETTLED
             and self.listing is WorkerListing.READY
@@ -191,12 +201,13 @@
             and not (self.runs and self.health.is_on_trial(now))
         )
 
-    # Free room is derived from the capacity in force, which may shrink and grow while runs hold
-    # room, and so may be below zero: then nothing new starts there, and nothing is stopped for it.
+    # Free capacity is the worker's current capacity less what its runs hold.  The capacity may
+    # shrink while runs hold it, so free capacity may be negative: then no run is started on the
+    # worker, and no run is stopped.
 
     @property
     def free_processors(self) -> int:
-        """Processors that no run holds, in thousandths."""
+        """Processors that no run holds, in thousandths of a processor."""
         return self.record.capacity.processors_milli - self._held_processors
 
     @property
@@ -211,11 +222,11 @@
 
     @property
     def is_over_room(self) -> bool:
-        """Whether its runs hold more than there is."""
+        """Whether the runs hold more of some resource than the worker has."""
         return self.free_processors < 0 or self.free_memory < 0 or self.free_accelerators < 0
 
     def fits(self, needs: Needs) -> bool:
-        """Return whether there is room."""
+        """Return whether the worker has free capacity for one more task."""
         return (
             needs.processors_milli <= self.free_processors
             and needs.memory_mb <= self.free_memory
@@ -223,14 +234,14 @@
         )
 
     def add(self, run: Run) -> None:
-        """Reserve room for a run."""
+        """Add a run, which holds its capacity from now on."""
         self.runs[run.key] = run
         self._held_processors += run.needs.processors_milli
         self._held_memory += run.needs.memory_mb
         self._held_accelerators += run.needs.accelerators
 
     def remove(self, run: Run) -> None:
-        """Free the room of a run that has ended."""
+        """Remove a run that has ended, and free its capacity."""
         if self.runs.pop(run.key, None) is None:
             return
         self._held_processors -= run.needs.processors_milli
@@ -238,25 +249,25 @@
         self._held_accelerators -= run.needs.accelerators
 
     def has_fillers(self) -> bool:
-        """Return whether something fills here beside something that serves."""
-        fills = serves = False
+        """Return whether filler runs run beside a serving run, or at less than full speed."""
+        has_filler = has_serving = False
         for run in self.runs.values():
             spec = run.task.step.spec
-            fills = fills or spec.fills
-            serves = serves or spec.target_ms > 0
-        return fills and (serves or self.pace.percent < FULL_PERCENT)
+            has_filler = has_filler or spec.fills
+            has_serving = has_serving or spec.target_ms > 0
+        return has_filler and (has_serving or self.pace.percent < FULL_PERCENT)
 
     def serving_pressure(self) -> float:
-        """Return the worst tail of a serving task here, as a share of its target."""
-        worst = 0.0
+        """Return the highest ratio of a serving run's tail latency to its target."""
+        worst_ratio = 0.0
         for run in self.runs.values():
-            target = run.task.step.spec.target_ms
-            if target > 0 and run.state is RunState.RUNNING:
-                worst = max(worst, run.usage / target)
-        return worst
+            target_ms = run.task.step.spec.target_ms
+            if target_ms > 0 and run.state is RunState.RUNNING:
+                worst_ratio = max(worst_ratio, run.usage / target_ms)
+        return worst_ratio
 
     def filling_runs(self) -> list[Run]:
-        """Return the runs here that fill what the others leave."""
+        """Return the running filler runs, which use capacity that other runs leave unused."""
         return [
             run
             for run in self.runs.values()
@@ -264,32 +275,32 @@
         ]
 
     def note_ended(self, key: RunKey, end: RunEnd) -> None:
-        """Remember a run that is over, so that an older answer does not bring it back."""
+        """Remember a run that has ended, so that an older answer does not bring it back."""
         self.ended_runs[key] = end
-        if len(self.ended_runs) > REMEMBERED_ENDS:
+        if len(self.ended_runs) > MAX_ENDED_RUNS:
             del self.ended_runs[next(iter(self.ended_runs))]
 
     def note_heard(self, now: float) -> None:
-        """It answered: its process was there."""
+        """Record that the worker answered, which shows that its process is there."""
         self.heard_at = now
-        self.was_refused = False
-        self.was_unanswered = False
+        self.poll_was_refused = False
+        self.poll_timed_out = False
         self.first_heard_at = min(self.first_heard_at, now)
-        self.last_contact_listing = self.listing
+        self.listing_at_last_answer = self.listing
 
     def note_unheard(self, ended_early: bool) -> None:
-        """A look had no answer; one that ends early was refused, or its connection was reset."""
+        """Record a poll without an answer; if it ended early, it was refused or reset."""
         if ended_early:
-            self.was_refused = True
+            self.poll_was_refused = True
         else:
-            self.was_unanswered = True
+            self.poll_timed_out = True
 
     def extend_lease(self, until_ms: int) -> None:
-        """Take into account that everything there may now run until a reading."""
+        """Record that the worker's runs may now continue until a reading of its clock."""
         self.lease_until_ms = max(self.lease_until_ms, until_ms)
 
     def lease_over_at(self) -> float:
-        """Return the holder's second after which nothing of before can still run there."""
+        """Return the holder's time by which every lease granted so far has expired."""
         if self.contact is WorkerContact.UNSETTLED or not self.clock.is_known:
             return self.unsettled_until
-        return self.clock.moment_past(self.lease_until_ms)
+        return self.clock.passes_at(self.lease_until_ms)
