--- a/features/preemption.feature
+++ b/features/preemption.feature
@@ -1,103 +1,103 @@
-Feature: More urgent work makes room for itself
+Feature: Preemption of runs for more urgent steps
 
-  Runs of later queues give way where nothing comes free soon and stopping them loses next to
-  nothing.
+  Runs of lower-priority queues are preempted if no capacity becomes free soon and stopping them
+  loses almost no work.
 
   Background:
     Given workers "a" of 10 processors each
 
-  Scenario: A run of a later queue that keeps checkpoints gives way
-    Given "a" is at work on "later" of 6 processors, priority 2, with checkpoints
+  Scenario: A run of a lower-priority queue that writes checkpoints is preempted
+    Given "a" runs "later" of 6 processors, priority 2, with checkpoints
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
-    Then "later" gives way to "urgent"
+    When a placement pass runs
+    Then "later" is preempted for "urgent"
 
-  Scenario Outline: What stays where it is: <what>
-    Given "a" is at work on "other" of 6 processors, priority <priority>, <traits>
+  Scenario Outline: Runs that are not preempted - <what>
+    Given "a" runs "other" of 6 processors, priority <priority>, <traits>
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
-    Then nothing gives way
+    When a placement pass runs
+    Then no run is preempted
 
     Examples:
-      | what                       | priority | traits           |
-      | a run of the same queue    | 1        | with checkpoints |
-      | a run of an earlier queue  | 0        | with checkpoints |
-      | work that would be lost    | 2        | without them     |
-      | a task that lasts          | 2        | lasting          |
+      | what                          | priority | traits              |
+      | a run of the same queue       | 1        | with checkpoints    |
+      | a run of a more urgent queue  | 0        | with checkpoints    |
+      | a run that would lose work    | 2        | without checkpoints |
+      | a long-running task           | 2        | long-running        |
 
-  Scenario: A run whose job would be late for it stays
-    Given "a" is at work on "later" of 6 processors, priority 2, with checkpoints
-    And its job has no time to lose
+  Scenario: A run whose job would be late after a restart is not preempted
+    Given "a" runs "later" of 6 processors, priority 2, with checkpoints
+    And its job would be late after a restart
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
-    Then nothing gives way
+    When a placement pass runs
+    Then no run is preempted
 
-  Scenario: A run that ends by itself within a moment is waited for
-    Given "a" is at work on "later" of 6 processors, priority 2, with checkpoints
-    And it has 0.3 seconds to go
+  Scenario: A run that is about to end is not preempted
+    Given "a" runs "later" of 6 processors, priority 2, with checkpoints
+    And it ends in 0.3 seconds
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
-    Then nothing gives way
-    And "small" of 4 processors, priority 2, that comes now does not take the room
+    When a placement pass runs
+    Then no run is preempted
+    And "small" of 4 processors, priority 2, submitted now, does not start
 
-  Scenario: A run that went on from its checkpoint is not taken to end soon for its progress
-    Given "a" is at work on "later" of 6 processors, priority 2, with checkpoints
-    And it went on from its checkpoint 0.1 seconds ago, at 25 percent
+  Scenario: The progress of a resumed run does not make it look about to end
+    Given "a" runs "later" of 6 processors, priority 2, with checkpoints
+    And it resumed from its checkpoint 0.1 seconds ago, at 25 percent
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
-    Then "later" gives way to "urgent"
+    When a placement pass runs
+    Then "later" is preempted for "urgent"
 
-  Scenario: Only as much gives way as is needed
-    Given "a" is at work on "first" of 4 processors, priority 2, with checkpoints
-    And "a" is at work on "second" of 5 processors, priority 2, with checkpoints
+  Scenario: No more runs are preempted than are needed
+    Given "a" runs "first" of 4 processors, priority 2, with checkpoints
+    And "a" runs "second" of 5 processors, priority 2, with checkpoints
     And a waiting step "urgent" of 1 task of 5 processors, priority 1
-    When a pass of placement is made
-    Then "first" gives way to "urgent"
+    When a placement pass runs
+    Then "first" is preempted for "urgent"
 
-  Scenario: For a job for which nobody waits any more nothing gives way
-    Given "a" is at work on "later" of 6 processors, priority 2, with checkpoints
-    And a waiting step "urgent" of 1 task of 9 processors, priority 1, handed in 60 seconds ago
-    When a pass of placement is made
-    Then nothing gives way
+  Scenario: No run is preempted for an expired job
+    Given "a" runs "later" of 6 processors, priority 2, with checkpoints
+    And a waiting step "urgent" of 1 task of 9 processors, priority 1, submitted 60 seconds ago
+    When a placement pass runs
+    Then no run is preempted
 
-  Scenario: The room of what gives way is held for what it gives way to
-    Given "a" is at work on "first" of 4 processors, priority 2, with checkpoints
-    And "a" is at work on "second" of 5 processors, priority 2, with checkpoints
+  Scenario: The capacity of preempted runs is reserved for the step they are preempted for
+    Given "a" runs "first" of 4 processors, priority 2, with checkpoints
+    And "a" runs "second" of 5 processors, priority 2, with checkpoints
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
+    When a placement pass runs
     And "first" has been stopped
     Given a waiting step "small" of 1 task of 4 processors, priority 2
-    When a pass of placement is made
+    When a placement pass runs
     Then "small" starts 0 tasks
     When "second" has been stopped
-    And a pass of placement is made
+    And a placement pass runs
     Then "urgent" starts 1 task
     And "small" starts 0 tasks
 
-  Scenario: Nothing gives way before there is a ticket for the room
-    Given 9 entries that ask for advice, which takes 500 ms and 10 ms a worker
-    And "a" is at work on "later" of 6 processors, priority 2, with checkpoints
+  Scenario: No run is preempted before the step has a ticket for the worker
+    Given 9 entries that make advice calls, each taking 500 ms plus 10 ms per worker
+    And "a" runs "later" of 6 processors, priority 2, with checkpoints
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When a pass of placement is made
-    Then nothing gives way
+    When a placement pass runs
+    Then no run is preempted
     When the advice is that "urgent" may run on "a"
-    And a pass of placement is made
-    Then "later" gives way to "urgent"
+    And a placement pass runs
+    Then "later" is preempted for "urgent"
 
-  Scenario: A ticket that would not last is asked for anew before anything gives way
-    Given 9 entries that ask for advice, which takes 500 ms and 10 ms a worker
-    And "a" is at work on "other" of 6 processors, priority 2, with checkpoints
+  Scenario: A ticket that would expire too early is renewed before a run is preempted
+    Given 9 entries that make advice calls, each taking 500 ms plus 10 ms per worker
+    And "a" runs "other" of 6 processors, priority 2, with checkpoints
     And a waiting step "urgent" of 1 task of 9 processors, priority 1
-    When the advice on "urgent" has come, 1.4 seconds ago
-    And it has 1.8 seconds to go
-    And a pass of placement is made
-    Then nothing gives way
-    And advice on "urgent" and "a" is asked for
+    When the advice on "urgent" arrived 1.4 seconds ago
+    And it ends in 1.8 seconds
+    And a placement pass runs
+    Then no run is preempted
+    And advice on "urgent" and worker "a" is requested
     When the advice is that "urgent" may run on "a"
-    And a pass of placement is made
-    Then "other" gives way to "urgent"
+    And a placement pass runs
+    Then "other" is preempted for "urgent"
 
-  Scenario: Whatever the cell looks like, a naive search finds no room that we do not
-    When preemption is chosen in 2000 random cells
-    Then it is found just where trying every set of runs finds one
-    And no run gives way that need not
+  Scenario: In random cells the preemptions agree with an exhaustive search
+    When preemptions are chosen in 2000 random cells
+    Then a preemption is found exactly if an exhaustive search finds one
+    And no run is preempted unnecessarily
--- a/features/rooms_that_change.feature
+++ b/features/rooms_that_change.feature
@@ -1,10 +1,10 @@
-Feature: A worker's room shrinks and grows while it runs
+Feature: The capacity of a worker shrinks and grows while it runs
 
-  What a worker says of its room may change at any time. Free room was kept beside the room that the
-  worker had when it was first listed: after it shrank more was started than it holds, and what it
-  gained was never used. Evidence: the first two scenarios on the code as it was.
+  A worker may report another capacity at any time. These scenarios guard against free capacity that
+  is derived from an outdated capacity: too many runs would be started after a worker shrinks, and
+  added capacity would never be used.
 
-  Scenario: Nothing is started beyond a room that has shrunk
+  Scenario: No run is started beyond the capacity of a worker that has shrunk
     Given a cell of 2 workers of 16 cores whose tasks take 1 second
     When 60 tasks of 2 cores are handed in
     And 0.5 seconds pass in that cell
@@ -13,7 +13,7 @@
     Then the cluster has broken nothing
     And 60 of the 60 jobs are shown as completed
 
-  Scenario: A room that has grown is used
+  Scenario: The added capacity of a worker that has grown is used
     Given a cell of 2 workers of 2 cores whose tasks take 1 second
     When 4 tasks of 4 cores are handed in
     And 2 seconds pass in that cell
@@ -22,7 +22,7 @@
     Then the cluster has broken nothing
     And 4 of the 4 jobs are shown as completed
 
-  Scenario: A start whose record is under way when the room shrinks is not ordered
+  Scenario: A start is not ordered if the worker shrinks while the start is being recorded
     Given a cell of 2 workers of 16 cores whose tasks take 1 second
     When the store takes 0.8 seconds to answer
     And 2 tasks of 16 cores are handed in
@@ -31,6 +31,6 @@
     And 3 seconds pass in that cell
     Then no task was started
 
-  Scenario: Free room is what the capacity leaves, over random histories
-    When workers take runs, lose them and change their rooms at random, 300 times over
-    Then their free room was always the capacity in force less what their runs hold
+  Scenario: Free capacity is the capacity less what runs hold, over random histories
+    When workers gain and lose runs and change their capacity at random in 300 histories
+    Then their free capacity was always the current capacity less what their runs hold
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -23,12 +23,12 @@
 ESTIMATED_MS = 2_000
 SERVICE = "service"
 
-#: A cell without tenants.
+#: The quotas of a cell without tenants, which limit nothing.
 NO_QUOTAS = no_quotas()
 
 
 class _Scene:
-    """Workers, waiting steps and a placer."""
+    """A cell of workers, waiting steps and a placer, with a clock that the steps advance."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -125,7 +125,10 @@
         context.scene.add_worker(f"more-{number:03}", processors)
 
 
-@given("{count:d} entries that ask for advice, which takes {decide:d} ms and {each:d} ms a worker")
+@given(
+    "{count:d} entries that make advice calls, each taking {decide:d} ms"
+    " plus {each:d} ms per worker"
+)
 def _advisors(context: Any, count: int, decide: int, each: int) -> None:
     scene = context.scene
     scene.advice = AdvicePolicy(decide, each, 1_500.0)
@@ -140,11 +143,11 @@
 
 @given(
     'a waiting step "{name}" of {count:d} task of {processors:d} processors, priority {rank:d},'
-    " handed in {age:g} seconds ago"
+    " submitted {age:g} seconds ago"
 )
 @given(
     'a waiting step "{name}" of {count:d} tasks of {processors:d} processors, priority {rank:d},'
-    " handed in {age:g} seconds ago"
+    " submitted {age:g} seconds ago"
 )
 def _old_step(context: Any, name: str, count: int, processors: int, rank: int, age: float) -> None:
     context.scene.add_step(name, count, processors, rank, age_seconds=age)
@@ -156,7 +159,7 @@
 
 
 @given(
-    'a waiting gang of one rack "{name}" of {count:d} tasks of {processors:d} processors,'
+    'a waiting same-rack gang "{name}" of {count:d} tasks of {processors:d} processors,'
     " priority {rank:d}"
 )
 def _rack_gang(context: Any, name: str, count: int, processors: int, rank: int) -> None:
@@ -187,24 +190,24 @@
     scene.table.note_gain(run.worker)
 
 
-@when('"{name}" waits no longer')
+@when('"{name}" no longer waits')
 def _waits_no_longer(context: Any, name: str) -> None:
     del context.scene.steps[name]
 
 
-@when("a pass of placement is made")
+@when("a placement pass runs")
 def _pass(context: Any) -> None:
     context.scene.make_pass()
 
 
-@when("{seconds:g} seconds pass before a pass of placement")
+@when("{seconds:g} seconds pass before a placement pass")
 def _later_pass(context: Any, seconds: float) -> None:
     context.scene.now += seconds
     context.scene.placer.reconsider_all()
     context.scene.make_pass()
 
 
-@when('advice says that every worker is good for "{name}" for {validity:d} ms')
+@when('the advice is that every worker suits "{name}" for {validity:d} ms')
 def _advice(context: Any, name: str, validity: int) -> None:
     scene = context.scene
     assert scene.calls
@@ -215,7 +218,7 @@
     scene.placer.reconsider(scene.steps[name].key)
 
 
-@when('advice says that no worker is good for "{name}"')
+@when('the advice is that no worker suits "{name}"')
 def _no_advice(context: Any, name: str) -> None:
     scene = context.scene
     for call in scene.calls:
@@ -237,15 +240,15 @@
     assert sorted(run.worker.worker_id for run in context.latest) == _names(names)
 
 
-@then("{count:d} calls for advice go out, about {workers:d} workers")
-@then("{count:d} call for advice goes out, about {workers:d} workers")
+@then("{count:d} advice calls are sent, about {workers:d} workers")
+@then("{count:d} advice call is sent, about {workers:d} workers")
 def _calls(context: Any, count: int, workers: int) -> None:
     calls = context.scene.calls
     assert len(calls) == count, calls
     assert sum(len(call.worker_ids) for call in calls) == workers, calls
 
 
-@then("{count:d} calls for advice go out")
+@then("{count:d} advice calls are sent")
 def _call_count(context: Any, count: int) -> None:
     assert len(context.scene.calls) == count, context.scene.calls
 
@@ -254,8 +257,8 @@
     return sorted(part.strip('" ') for part in text.replace(" and ", ",").split(",") if part)
 
 
-@when("{seconds:g} seconds pass, of which nothing is told, before a pass of placement")
-def _silent_pass(context: Any, seconds: float) -> None:
+@when("{seconds:g} seconds pass without a notification before a placement pass")
+def _pass_without_notification(context: Any, seconds: float) -> None:
     scene = context.scene
     scene.now += seconds
     scene.first_calls = scene.calls or scene.first_calls
@@ -264,13 +267,13 @@
     scene.make_pass()
 
 
-@then('only the sweep found "{name}"')
+@then('only the periodic sweep found "{name}"')
 def _only_sweep(context: Any, name: str) -> None:
     found = [step.job.job_id for step in context.scene.placer.take_overlooked()]
     assert found == [name], found
 
 
-@given("the advice takes {decide:d} ms and {each:d} ms a worker")
+@given("an advice call takes {decide:d} ms plus {each:d} ms per worker")
 def _advice_takes(context: Any, decide: int, each: int) -> None:
     context.scene.advice = AdvicePolicy(decide, each, 1_500.0)
 
@@ -280,7 +283,7 @@
     return int(call.advisor.rpartition("-")[2])
 
 
-@then('the call for advice on "{name}" goes through none of the first {count:d} entries')
+@then('the advice call for "{name}" uses none of the first {count:d} entries')
 def _not_among_first(context: Any, name: str, count: int) -> None:
     assert _position(context, name) >= count, _position(context, name)
 
@@ -291,20 +294,20 @@
         context.scene.add_step(f"urgent-{number}", 1, processors, rank)
 
 
-@then("their calls for advice go through the first {count:d} entries, one each")
+@then("their advice calls use the first {count:d} entries, one entry each")
 def _one_each_of_first(context: Any, count: int) -> None:
     positions = [_position(context, f"urgent-{number}") for number in range(count)]
     assert sorted(positions) == list(range(count)), positions
 
 
-@then('the call for advice on "{name}" goes through another entry')
+@then('the advice call for "{name}" uses another entry')
 def _another_entry(context: Any, name: str) -> None:
     [first] = context.scene.first_calls
     [second] = [call for call in context.scene.calls if call.step.job_id == name]
     assert second.advisor != first.advisor, first.advisor
 
 
-@when("the first call is answered, that every worker is good for {validity:d} ms")
+@when("the first call is answered with tickets for every worker, valid for {validity:d} ms")
 def _first_answered(context: Any, validity: int) -> None:
     scene = context.scene
     [first] = scene.first_calls
@@ -315,9 +318,7 @@
     scene.placer.reconsider(key)
 
 
-@given(
-    '"{worker}" runs a task with checkpoints of {processors:d} processors, priority {priority:d}'
-)
+@given('"{worker}" runs a checkpointing task of {processors:d} processors, priority {priority:d}')
 def _runs_with_checkpoints(context: Any, worker: str, processors: int, priority: int) -> None:
     scene = context.scene
     step = scene.add_step(
@@ -328,31 +329,31 @@
     run.confirmed_at = scene.now
 
 
-def _evictions(context: Any) -> list[Run]:
-    found = context.scene.placer.take_evictions()
-    for eviction in found:
-        assert eviction.step.job.job_id == "gang"
-    return [run for eviction in found for run in eviction.preemption.runs]
+def _preempted_runs(context: Any) -> list[Run]:
+    requests = context.scene.placer.take_evictions()
+    for request in requests:
+        assert request.step.job.job_id == "gang"
+    return [run for request in requests for run in request.preemption.runs]
 
 
-@then("nothing gives way to a gang")
-def _nothing_gives_way(context: Any) -> None:
-    assert not _evictions(context)
+@then("no run is preempted for a gang")
+def _none_preempted(context: Any) -> None:
+    assert not _preempted_runs(context)
 
 
-@then("{count:d} runs give way to the gang")
-def _give_way(context: Any, count: int) -> None:
-    context.stopping = _evictions(context)
-    assert len(context.stopping) == count, context.stopping
-    for run in context.stopping:
+@then("{count:d} runs are preempted for the gang")
+def _runs_preempted(context: Any, count: int) -> None:
+    context.preempted = _preempted_runs(context)
+    assert len(context.preempted) == count, context.preempted
+    for run in context.preempted:
         run.move_to(RunState.STOPPING)
         run.stop_sent_at = context.scene.now
 
 
-@when("they have ended, and a pass of placement is made")
+@when("the preempted runs have ended, and a placement pass runs")
 def _they_have_ended(context: Any) -> None:
     scene = context.scene
-    for run in context.stopping:
+    for run in context.preempted:
         run.worker.remove(run)
         scene.table.note_gain(run.worker)
     scene.now += 0.3
@@ -390,7 +391,7 @@
     scene.table.note_gain(run.worker)
 
 
-@then('the call for advice on "{name}" names no worker that runs a task of it')
+@then('the advice call for "{name}" names no worker that runs one of its tasks')
 def _names_others(context: Any, name: str) -> None:
     scene = context.scene
     busy = {task.run.worker.worker_id for task in scene.steps[name].tasks if task.run is not None}
--- a/features/steps/preemption_steps.py
+++ b/features/steps/preemption_steps.py
@@ -1,4 +1,4 @@
-"""Steps about runs that give way to more urgent work, without a cluster."""
+"""Steps about the preemption of runs for more urgent steps, without a cluster."""
 
 from __future__ import annotations
 
@@ -18,42 +18,39 @@
 
 TRAITS: dict[str, dict[str, bool]] = {
     "with checkpoints": {"checkpointing": True},
-    "without them": {},
-    "lasting": {"checkpointing": True, "long_running": True},
+    "without checkpoints": {},
+    "long-running": {"checkpointing": True, "long_running": True},
 }
-#: Times its work that a job may take: one that can wait, and one that can not.
-PATIENT, PRESSED = 4.0, 2.0
+#: Objectives as multiples of the work of a job: one with much slack, and one with little.
+PATIENT_STRETCH, PRESSED_STRETCH = 4.0, 2.0
 WORK_SECONDS = 2.0
 RESTART_SECONDS = 3.0
 
 
-@given("its job has no time to lose")
-def _pressed(context: Any) -> None:
-    context.run.task.step.job.objective_seconds = PRESSED * WORK_SECONDS
+@given("its job would be late after a restart")
+def _late_after_restart(context: Any) -> None:
+    context.run.task.step.job.objective_seconds = PRESSED_STRETCH * WORK_SECONDS
 
 
-@given(
-    '"{worker}" is at work on "{name}" of {processors:d} processors,'
-    " priority {priority:d}, {traits}"
-)
-def _at_work(
+@given('"{worker}" runs "{name}" of {processors:d} processors, priority {priority:d}, {traits}')
+def _runs(
     context: Any, worker: str, name: str, processors: int, priority: int, traits: str
 ) -> None:
     scene = context.scene
-    step = scene.add_step(name, 1, processors, priority, stretch=PATIENT, **TRAITS[traits])
+    step = scene.add_step(name, 1, processors, priority, stretch=PATIENT_STRETCH, **TRAITS[traits])
     run = scene.start(step, 0, scene.table.workers[worker])
     run.move_to(RunState.RUNNING)
     run.confirmed_at = scene.now
     scene.runs[name] = context.run = run
 
 
-@given("it has {seconds:g} seconds to go")
-@when("it has {seconds:g} seconds to go")
-def _to_go(context: Any, seconds: float) -> None:
+@given("it ends in {seconds:g} seconds")
+@when("it ends in {seconds:g} seconds")
+def _ends_in(context: Any, seconds: float) -> None:
     context.run.confirmed_at = context.scene.now - WORK_SECONDS + seconds
 
 
-@given("it went on from its checkpoint {seconds:g} seconds ago, at {percent:d} percent")
+@given("it resumed from its checkpoint {seconds:g} seconds ago, at {percent:d} percent")
 def _resumed(context: Any, seconds: float, percent: int) -> None:
     run = context.run
     run.is_resumed = True
@@ -78,56 +75,53 @@
     scene.placer.reconsider(scene.desk.handle_result(call.call_id, result, scene.now))
 
 
-@when('the advice on "{name}" has come, {seconds:g} seconds ago')
+@when('the advice on "{name}" arrived {seconds:g} seconds ago')
 def _advised_before(context: Any, name: str, seconds: float) -> None:
     scene = context.scene
-    # Nothing can give way yet: the run ends within a moment.
-    _to_go(context, 0.3)
+    # No run can be preempted yet, because the only run is about to end.
+    _ends_in(context, 0.3)
     scene.make_pass()
     _advice(context, name, "a")
     scene.now += seconds
 
 
-@then('"{victim}" gives way to "{step}"')
-def _gives_way(context: Any, victim: str, step: str) -> None:
-    evictions = context.scene.placer.take_evictions()
+@then('"{victim}" is preempted for "{step}"')
+def _is_preempted(context: Any, victim: str, step: str) -> None:
+    requests = context.scene.placer.take_evictions()
     found = [
-        (run.task.step.job.job_id, eviction.step.job.job_id)
-        for eviction in evictions
-        for run in eviction.preemption.runs
+        (run.task.step.job.job_id, request.step.job.job_id)
+        for request in requests
+        for run in request.preemption.runs
     ]
     assert found == [(victim, step)], found
 
 
-@then("nothing gives way")
-def _nothing(context: Any) -> None:
+@then("no run is preempted")
+def _none_preempted(context: Any) -> None:
     assert context.scene.placer.take_evictions() == []
 
 
-@then(
-    '"{name}" of {processors:d} processors, priority {priority:d},'
-    " that comes now does not take the room"
-)
-def _not_taken(context: Any, name: str, processors: int, priority: int) -> None:
+@then('"{name}" of {processors:d} processors, priority {priority:d}, submitted now, does not start')
+def _does_not_start(context: Any, name: str, processors: int, priority: int) -> None:
     scene = context.scene
     scene.add_step(name, 1, processors, priority)
     scene.make_pass()
     assert name not in scene.started, scene.started
 
 
-@then('advice on "{name}" and "{worker}" is asked for')
+@then('advice on "{name}" and worker "{worker}" is requested')
 def _asked(context: Any, name: str, worker: str) -> None:
     calls = [(call.step.job_id, call.worker_ids) for call in context.scene.calls]
     assert (name, (worker,)) in calls, calls
 
 
-@when("preemption is chosen in {count:d} random cells")
+@when("preemptions are chosen in {count:d} random cells")
 def _random_cells(context: Any, count: int) -> None:
     context.cells = [_random_cell(random.Random(seed)) for seed in range(count)]
 
 
 def _random_cell(rng: random.Random) -> Any:
-    """Return a cell, what is wanted, what was chosen, and whether a naive search finds room."""
+    """Return a cell, a demand, the chosen preemption, and whether a search finds any."""
     scene = _Scene()
     for index in range(rng.randint(1, 3)):
         name = f"w{index}"
@@ -143,7 +137,7 @@
                 1,
                 processors,
                 rng.choice([0, 1, 2, 2]),
-                stretch=rng.choice([PATIENT, PRESSED]),
+                stretch=rng.choice([PATIENT_STRETCH, PRESSED_STRETCH]),
                 **traits,
             )
             run = scene.start(step, 0, worker)
@@ -152,47 +146,52 @@
     needs = Needs(rng.randint(3, 16) * MILLI, 100, 0)
     workers = [item for item in scene.table.workers.values() if not item.fits(needs)]
     found = choose_preemption(1, needs, workers, ScratchRoom(), PolicySet(), scene.now)
-    return scene, needs, found, any(_naive(worker, needs, scene.now) for worker in workers)
+    return (
+        scene,
+        needs,
+        found,
+        any(_exhaustive_search(worker, needs, scene.now) for worker in workers),
+    )
 
 
-def _naive(worker: Any, needs: Needs, now: float) -> bool:
-    """Try every set of runs that may give way, beside those that end within a moment."""
-    soon, movable = [], []
+def _exhaustive_search(worker: Any, needs: Needs, now: float) -> bool:
+    """Return whether trying every set of runs finds a set that must be preempted and is enough."""
+    ending_soon, preemptible = [], []
     for run in worker.runs.values():
         spec = run.task.step.spec
         left = WORK_SECONDS - (now - run.confirmed_at)
         step = run.task.step
         slack = step.due_at + step.job.objective_seconds - now - left
         if not spec.long_running and left < 0.6:
-            soon.append(run)
+            ending_soon.append(run)
         elif (
             spec.checkpointing
             and not spec.long_running
             and not 0.0 < slack < RESTART_SECONDS
             and run.task.step.job.spec.queue.priority > 1
         ):
-            movable.append(run)
-    for size in range(len(movable) + 1):
-        for chosen in combinations(movable, size):
-            freed = sum(run.needs.processors_milli for run in [*soon, *chosen])
+            preemptible.append(run)
+    for size in range(len(preemptible) + 1):
+        for chosen in combinations(preemptible, size):
+            freed = sum(run.needs.processors_milli for run in [*ending_soon, *chosen])
             if worker.free_processors + freed >= needs.processors_milli:
-                # Where nothing has to give way, nothing does.
+                # No preemption is needed if the runs that are about to end free enough capacity.
                 return size > 0
     return False
 
 
-@then("it is found just where trying every set of runs finds one")
-def _same(context: Any) -> None:
-    found_any = 0
-    for _scene, needs, found, naive in context.cells:
-        assert (found is not None) == naive, (needs, found, naive)
-        found_any += found is not None
-    assert found_any > len(context.cells) // 20
+@then("a preemption is found exactly if an exhaustive search finds one")
+def _agrees_with_search(context: Any) -> None:
+    found_count = 0
+    for _scene, needs, found, is_possible in context.cells:
+        assert (found is not None) == is_possible, (needs, found, is_possible)
+        found_count += found is not None
+    assert found_count > len(context.cells) // 20
 
 
-@then("no run gives way that need not")
-def _needed(context: Any) -> None:
-    for scene, needs, found, _naive_found in context.cells:
+@then("no run is preempted unnecessarily")
+def _none_unnecessary(context: Any) -> None:
+    for scene, needs, found, _is_possible in context.cells:
         if found is None:
             continue
         free = found.worker.free_processors
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -1,4 +1,4 @@
-"""Steps about workers whose room changes, in virtual time and over random histories."""
+"""Steps about workers whose capacity changes, in virtual time and over random histories."""
 
 from __future__ import annotations
 
@@ -87,18 +87,18 @@
     return runs
 
 
-_amounts = st.builds(Needs, st.integers(0, 20_000), st.integers(0, 40_000), st.integers(0, 4))
-_changes = st.one_of(_amounts, st.integers(0, MAXIMUM_RUNS - 1))
+_needs = st.builds(Needs, st.integers(0, 20_000), st.integers(0, 40_000), st.integers(0, 4))
+_capacity_or_run_changes = st.one_of(_needs, st.integers(0, MAXIMUM_RUNS - 1))
 
 
-@when("workers take runs, lose them and change their rooms at random, {count:d} times over")
+@when("workers gain and lose runs and change their capacity at random in {count:d} histories")
 def _random_histories(context: Any, count: int) -> None:
     context.checked = 0
 
     @settings(max_examples=count, deadline=None, derandomize=True, database=None)
     @for_all(
-        st.lists(_amounts, min_size=MAXIMUM_RUNS, max_size=MAXIMUM_RUNS),
-        st.lists(_changes, max_size=40),
+        st.lists(_needs, min_size=MAXIMUM_RUNS, max_size=MAXIMUM_RUNS),
+        st.lists(_capacity_or_run_changes, max_size=40),
     )
     def play(needs: list[Needs], changes: list[Needs | int]) -> None:
         record = WorkerRecord(
@@ -120,7 +120,7 @@
 
 
 def _compare(worker: Worker) -> None:
-    """Hold the derived room against a naive sum."""
+    """Compare the derived free capacity with a plain sum over the runs."""
     held = Needs()
     for run in worker.runs.values():
         held = plus(held, run.task.step.spec.needs)
@@ -130,6 +130,6 @@
     assert not worker.fits(Needs(1, 1, 1)) or min(free) > 0
 
 
-@then("their free room was always the capacity in force less what their runs hold")
+@then("their free capacity was always the current capacity less what their runs hold")
 def _checked(context: Any) -> None:
     assert context.checked > 0
--- a/features/steps/unlike_worker_steps.py
+++ b/features/steps/unlike_worker_steps.py
@@ -1,4 +1,4 @@
-"""Steps about workers of unlike speed, without a cluster."""
+"""Steps about workers of different speed, without a cluster."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 PASS_SECONDS = 0.05
 WORK_SECONDS = 2.0
-ARRIVALS_A_SECOND = 12.0
+ARRIVALS_PER_SECOND = 12.0
 
 
 @given('"{worker}" is known to take {times:g} times as long')
@@ -27,12 +27,12 @@
     context.scene.table.workers[worker].speed.factor = times
 
 
-@given('a step "{name}" of 1 task whose job may take {times:g} times its work')
+@given('a step "{name}" of 1 task whose objective is {times:g} times its work')
 def _stretched(context: Any, name: str, times: float) -> None:
     context.scene.add_step(name, 1, 2, 0, stretch=times)
 
 
-@given('a gang "{name}" of {count:d} tasks whose job may take {times:g} times its work')
+@given('a gang "{name}" of {count:d} tasks whose objective is {times:g} times its work')
 def _stretched_gang(context: Any, name: str, count: int, times: float) -> None:
     context.scene.add_step(name, count, 2, 0, stretch=times, gang=True)
 
@@ -49,10 +49,10 @@
 def _place(cell: Any, factors: bool, is_on: bool) -> list[tuple[int, str]]:
     workers, tasks, processors, stretch, age = cell
     scene = _Scene()
-    for number, (room, quarters) in enumerate(workers):
-        scene.add_worker(f"w{number}", room)
+    for number, (processor_count, factor_quarters) in enumerate(workers):
+        scene.add_worker(f"w{number}", processor_count)
         if factors:
-            scene.table.workers[f"w{number}"].speed.factor = quarters / 4.0
+            scene.table.workers[f"w{number}"].speed.factor = factor_quarters / 4.0
     step = scene.add_step("step", tasks, processors, 0, age_seconds=age, stretch=stretch)
     candidates = [Candidate(worker, "") for worker in scene.table.workers.values()]
     placed = place_tasks(step, candidates, ScratchRoom(), tasks, scene.now, is_on)
@@ -61,30 +61,32 @@
     return [(item.task.index, item.worker.worker_id) for item in placed.placements]
 
 
-@when("{count:d} random cells are placed with the part on, off and with all workers alike")
+@when(
+    "{count:d} random cells are placed with speed awareness on, off and with equally fast workers"
+)
 def _random_cells(context: Any, count: int) -> None:
-    context.differed = 0
+    context.changed_count = 0
 
     @settings(max_examples=count)
     @drawn_from(_cells)
     def check(cell: Any) -> None:
-        today = _place(cell, factors=False, is_on=False)
-        assert _place(cell, factors=True, is_on=False) == today
-        assert _place(cell, factors=False, is_on=True) == today
-        unlike = _place(cell, factors=True, is_on=True)
-        assert len(unlike) == len(today) or not today
-        context.differed += unlike != today
+        baseline = _place(cell, factors=False, is_on=False)
+        assert _place(cell, factors=True, is_on=False) == baseline
+        assert _place(cell, factors=False, is_on=True) == baseline
+        with_speeds = _place(cell, factors=True, is_on=True)
+        assert len(with_speeds) == len(baseline) or not baseline
+        context.changed_count += with_speeds != baseline
 
     check()
 
 
-@then("workers' speeds changed nothing where the part is off or they are alike")
+@then("placements were the same if speed awareness is off or all workers are equally fast")
 def _differed(context: Any) -> None:
-    assert context.differed > 0
+    assert context.changed_count > 0
 
 
 class _Cell:
-    """A third of its workers is slow; jobs of two kinds are handed in."""
+    """A cell where a third of the workers is slow, and jobs of two kinds are submitted."""
 
     def __init__(self, minds_speed: bool) -> None:
         self.scene = scene = _Scene()
@@ -97,13 +99,13 @@
             if number % 3 == 0:
                 scene.table.workers[f"w{number:02}"].speed.factor = 2.5
 
-    def hand_in(self) -> None:
+    def submit_jobs(self) -> None:
         for kind, rank, stretch in (("pressed", 0, 2.0), ("patient", 1, 8.0)):
-            if self.random.random() < ARRIVALS_A_SECOND * PASS_SECONDS:
+            if self.random.random() < ARRIVALS_PER_SECOND * PASS_SECONDS:
                 name = f"{kind}-{self.scene.now:.3f}"
                 self.scene.add_step(name, 1, 2, rank, stretch=stretch)
 
-    def pass_time(self) -> None:
+    def advance(self) -> None:
         self.scene.now += PASS_SECONDS
         for run in [run for run, at in self.ends.items() if at <= self.scene.now]:
             self._end(run)
@@ -126,26 +128,31 @@
         self.late[step.job.job_id.partition("-")[0]].append(is_late)
 
 
-def _late(minds_speed: bool, seconds: float) -> dict[str, float]:
-    """Play a cell; return the share of late jobs by kind."""
+def _late_shares(minds_speed: bool, seconds: float) -> dict[str, float]:
+    """Simulate a cell; return the share of late jobs by kind."""
     cell = _Cell(minds_speed)
     end = cell.scene.now + seconds
     while cell.scene.now < end:
-        cell.hand_in()
-        cell.pass_time()
+        cell.submit_jobs()
+        cell.advance()
     while cell.ends or cell.scene.started:
-        cell.pass_time()
+        cell.advance()
     return {kind: sum(found) / len(found) for kind, found in cell.late.items()}
 
 
-@when("pressed and patient steps are handed in for {seconds:d} seconds, with the part and without")
-def _play_unlike(context: Any, seconds: int) -> None:
-    context.with_part = _late(True, seconds)
-    context.without = _late(False, seconds)
+@when(
+    "pressed and patient steps are submitted for {seconds:d} seconds,"
+    " with and without speed awareness"
+)
+def _simulate(context: Any, seconds: int) -> None:
+    context.with_awareness = _late_shares(True, seconds)
+    context.without_awareness = _late_shares(False, seconds)
 
 
-@then("with the part fewer pressed steps are late, and no more patient ones")
+@then("with speed awareness fewer pressed steps are late, and no more patient ones")
 def _fewer_late(context: Any) -> None:
-    figures = (context.without, context.with_part)
-    assert context.with_part["pressed"] < 0.5 * context.without["pressed"], figures
-    assert context.with_part["patient"] <= context.without["patient"], figures
+    late_shares = (context.without_awareness, context.with_awareness)
+    assert context.with_awareness["pressed"] < 0.5 * context.without_awareness["pressed"], (
+        late_shares
+    )
+    assert context.with_awareness["patient"] <= context.without_awareness["patient"], late_shares
--- a/features/unlike_workers.feature
+++ b/features/unlike_workers.feature
@@ -1,40 +1,40 @@
-Feature: Where work goes when workers are unlike, without a network
+Feature: Placement on workers of different speed, without a network
 
-  A worker that is known to take longer suits what can wait. A step's job is on time within its
-  objective; half of what it can afford to wait may be lost to a slow worker.
+  Slow workers are given to steps whose jobs have slack. A job is on time if it ends within its
+  objective; a slow worker may use up at most half of the job's slack.
 
-  Scenario: A pressed step goes to a fast worker, a patient one to a slow one, whichever is fuller
+  Scenario: A step with little slack goes to a fast worker, one with much slack to a slow worker
     Given workers "fast" and "slow" of 8 processors each
     And "slow" is known to take 2 times as long
-    And a step "pressed" of 1 task whose job may take 2 times its work
-    And a step "patient" of 1 task whose job may take 8 times its work
-    When a pass of placement is made
+    And a step "pressed" of 1 task whose objective is 2 times its work
+    And a step "patient" of 1 task whose objective is 8 times its work
+    When a placement pass runs
     Then "pressed" starts 1 task
     And they are on "fast"
     And "patient" starts 1 task
     And they are on "slow"
 
-  Scenario: A step that has waited long is pressed
+  Scenario: A step that has waited long goes to a fast worker
     Given workers "fast" and "slow" of 8 processors each
     And "slow" is known to take 2 times as long
-    And a step "patient" of 1 task whose job may take 8 times its work
-    When 12 seconds pass before a pass of placement
+    And a step "patient" of 1 task whose objective is 8 times its work
+    When 12 seconds pass before a placement pass
     Then "patient" starts 1 task
     And they are on "fast"
 
-  Scenario: A slow worker is better than none
+  Scenario: A slow worker is used if there is no other
     Given workers "slow" of 8 processors each
     And "slow" is known to take 2 times as long
-    And a step "pressed" of 1 task whose job may take 2 times its work
-    When a pass of placement is made
+    And a step "pressed" of 1 task whose objective is 2 times its work
+    When a placement pass runs
     Then "pressed" starts 1 task
 
-  Scenario Outline: A gang stands on workers of like speed - <kind>
+  Scenario Outline: A gang is placed on workers of equal speed - <kind>
     Given workers "a", "b", "c" and "d" of 4 processors each
     And "b" is known to take 2 times as long
     And "d" is known to take 2 times as long
-    And a gang "gang" of 4 tasks whose job may take <times> times its work
-    When a pass of placement is made
+    And a gang "gang" of 4 tasks whose objective is <times> times its work
+    When a placement pass runs
     Then "gang" starts 4 tasks
     And they are on <names>
 
@@ -43,10 +43,10 @@
       | pressed | 2     | "a", "a", "c" and "c" |
       | patient | 8     | "b", "b", "d" and "d" |
 
-  Scenario: With the part off, or workers alike, placements are those of today
-    When 200 random cells are placed with the part on, off and with all workers alike
-    Then workers' speeds changed nothing where the part is off or they are alike
+  Scenario: Without speed awareness, or with equally fast workers, speed changes no placement
+    When 200 random cells are placed with speed awareness on, off and with equally fast workers
+    Then placements were the same if speed awareness is off or all workers are equally fast
 
-  Scenario: Pressed steps beside patient ones in a cell of which a third is slow, before and after
-    When pressed and patient steps are handed in for 40 seconds, with the part and without
-    Then with the part fewer pressed steps are late, and no more patient ones
+  Scenario: Speed awareness makes fewer steps late in a cell where a third of the workers is slow
+    When pressed and patient steps are submitted for 40 seconds, with and without speed awareness
+    Then with speed awareness fewer pressed steps are late, and no more patient ones
