--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -25,7 +25,7 @@
 #: A run counts as just started when its start was ordered at most this many seconds before its
 #: worker last answered.  Tasks that crash a worker at their start do so within about 10 ms; the
 #: rest of the window allows for orders that are answered out of sequence.
-JUST_BEGUN_SECONDS = 0.5
+RECENT_START_SECONDS = 0.5
 #: A run that its worker lists as running this many seconds after the start order has survived its
 #: start.  Without this limit, runs whose ends were not yet read when their workers crashed would
 #: be blamed for the crash, and their jobs would fail.
@@ -39,20 +39,20 @@
 STEADY_SECONDS = 30.0
 
 
-class EndOfLife(Enum):
+class IncarnationEndReason(Enum):
     """Why the incarnation of a worker is considered to have ended."""
 
-    OTHER_LIFE = "other_life"
-    LEASE_OVER = "lease_over"
+    OTHER_INCARNATION = "other_life"
+    LEASE_EXPIRED = "lease_over"
 
 
-def has_crashed(worker: Worker, reason: EndOfLife) -> bool:
+def has_crashed(worker: Worker, reason: IncarnationEndReason) -> bool:
     """Return whether a worker whose incarnation has ended went down unplanned, as far as known."""
     last_listing = worker.listing_at_last_answer
     was_draining = WorkerListing.DRAINING in (worker.listing, last_listing)
     if was_draining or last_listing is WorkerListing.GONE:
         return False
-    return reason is EndOfLife.OTHER_LIFE or worker.listing is WorkerListing.GONE
+    return reason is IncarnationEndReason.OTHER_INCARNATION or worker.listing is WorkerListing.GONE
 
 
 def blame_runs(worker: Worker, now: float) -> list[tuple[Run, Blame]]:
@@ -75,7 +75,7 @@
     has_survived_start = run.listed_at - run.ordered_at >= SURVIVED_START_SECONDS
     if _had_stopped(run) or has_survived_start or not run.ordered_at:
         return False
-    return run.ordered_at >= worker.heard_at - JUST_BEGUN_SECONDS
+    return run.ordered_at >= worker.heard_at - RECENT_START_SECONDS
 
 
 def _had_stopped(run: Run) -> bool:
--- a/src/onyxspoke/core/placement/room_seeker.py
+++ b/src/onyxspoke/core/placement/capacity_seeker.py
@@ -12,12 +12,12 @@
 
 from onyxspoke.core.jobs.model import QueuePolicy
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import FEWEST_ASKED
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import MINIMUM_WORKERS_PER_CALL
 from onyxspoke.core.placement.forecast import CapacityForecast
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.preemption import Preemption, choose_preemption
-from onyxspoke.core.placement.queue_order import Lateness, step_rank_of
+from onyxspoke.core.placement.queue_order import Lateness, step_rank_in_queue
 from onyxspoke.core.placement.reservations import CapacityReservations, MemberSlots
 from onyxspoke.core.placement.workers import Worker
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Eviction:
+class PreemptionRequest:
     """A preemption, and the step for which it frees capacity."""
 
     step: StepProgress
@@ -49,13 +49,16 @@
     """
 
     def __init__(
-        self, advice_dispatcher: AdviceDesk, reservations: CapacityReservations, stop_seconds: float
+        self,
+        advice_dispatcher: AdviceDispatcher,
+        reservations: CapacityReservations,
+        stop_seconds: float,
     ) -> None:
         self._advice_dispatcher = advice_dispatcher
         self._reservations = reservations
         self._stop_seconds = stop_seconds
         self._forecast = CapacityForecast(stop_seconds, 0.0)
-        self.preemption_requests: list[Eviction] = []
+        self.preemption_requests: list[PreemptionRequest] = []
 
     def begin_pass(self, now: float) -> None:
         """Discard the forecast of the previous placement pass."""
@@ -81,7 +84,7 @@
         needs = step.needs
         forecasts = sorted(
             (
-                self._forecast.capacity_expected_at(worker, needs, placement_pass.room),
+                self._forecast.capacity_expected_at(worker, needs, placement_pass.capacity),
                 worker.worker_id,
             )
             for worker in workers
@@ -104,7 +107,7 @@
         )
         if may_hold and earliest_at - placement_pass.now <= RESERVE_AHEAD_SECONDS:
             self._reservations.hold(
-                step, [MemberSlots(earliest_worker, 1)], placement_pass.room, placement_pass.now
+                step, [MemberSlots(earliest_worker, 1)], placement_pass.capacity, placement_pass.now
             )
         else:
             self._reservations.drop(step.key)
@@ -117,11 +120,11 @@
         placement_pass: PlacementPass,
     ) -> Worker | None:
         """Choose runs to preempt; return their worker, or ``None`` if no preemption helps."""
-        rank = step_rank_of(step, queue, placement_pass.now)
-        if rank.is_beyond_share or rank.lateness is Lateness.EXPIRED:
+        rank = step_rank_in_queue(step, queue, placement_pass.now)
+        if rank.is_over_share or rank.lateness is Lateness.EXPIRED:
             return None
         if queue.advice is not None:
-            tickets = self._advice_dispatcher.advice_on(step).tickets
+            tickets = self._advice_dispatcher.advice_for(step).tickets
             needed_until = placement_pass.now + self._stop_seconds + TICKET_MARGIN_SECONDS
             workers_with_ticket = [
                 worker for worker in workers if tickets[worker.worker_id].use_before > needed_until
@@ -134,13 +137,13 @@
             queue.priority,
             step.needs,
             workers,
-            placement_pass.room,
+            placement_pass.capacity,
             placement_pass.policy,
             placement_pass.now,
         )
         if preemption is None:
             return None
-        self.preemption_requests.append(Eviction(step, preemption))
+        self.preemption_requests.append(PreemptionRequest(step, preemption))
         return preemption.worker
 
     def _request_tickets(
@@ -150,14 +153,16 @@
         workers: list[Worker],
         placement_pass: PlacementPass,
     ) -> None:
-        advice = self._advice_dispatcher.advice_on(step)
-        if queue.advice is None or advice.is_asking:
+        advice = self._advice_dispatcher.advice_for(step)
+        if queue.advice is None or advice.has_open_calls:
             return
-        if self._advice_dispatcher.has_shares:
+        if self._advice_dispatcher.uses_fair_shares:
             workers = _preemption_workers(step, queue, workers, placement_pass)
         worker_ids = [worker.worker_id for worker in workers]
-        rank = step_rank_of(step, queue, placement_pass.now)
-        self._advice_dispatcher.want(step, queue.advice, worker_ids, rank, placement_pass.now)
+        rank = step_rank_in_queue(step, queue, placement_pass.now)
+        self._advice_dispatcher.request_advice(
+            step, queue.advice, worker_ids, rank, placement_pass.now
+        )
 
 
 def _preemption_workers(
@@ -165,17 +170,18 @@
 ) -> list[Worker]:
     """Return the workers to ask about, the one with the cheapest preemption first.
 
-    The list has at most ``FEWEST_ASKED`` workers; it is empty if no run can be preempted.
+    The list has at most ``MINIMUM_WORKERS_PER_CALL`` workers; it is empty if no run can be
+    preempted.
     """
     cheapest = choose_preemption(
         queue.priority,
         step.needs,
         workers,
-        placement_pass.room,
+        placement_pass.capacity,
         placement_pass.policy,
         placement_pass.now,
     )
     if cheapest is None:
         return []
     other_workers = [worker for worker in workers if worker is not cheapest.worker]
-    return [cheapest.worker, *other_workers][:FEWEST_ASKED]
+    return [cheapest.worker, *other_workers][:MINIMUM_WORKERS_PER_CALL]
--- a/src/onyxspoke/core/placement/forecast.py
+++ b/src/onyxspoke/core/placement/forecast.py
@@ -7,12 +7,12 @@
 
 from onyxspoke.core.jobs.model import Needs, WorkerId
 from onyxspoke.core.jobs.states import RunState
-from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
 #: Progress, in percent, from which it predicts the end of a run better than the estimate does.
-TELLING_PERCENT = 5
+RELIABLE_PROGRESS_PERCENT = 5
 _FULL_PERCENT = 100
 
 
@@ -23,9 +23,9 @@
     estimate = run.expected_seconds
     if run.is_resumed:
         remaining = estimate * (_FULL_PERCENT - run.percent) / _FULL_PERCENT
-        return max(0.0, remaining - (now - run.moved_at))
+        return max(0.0, remaining - (now - run.progressed_at))
     elapsed = now - run.confirmed_at
-    if run.percent >= TELLING_PERCENT:
+    if run.percent >= RELIABLE_PROGRESS_PERCENT:
         total = elapsed / run.percent * _FULL_PERCENT
         return max(0.0, total - elapsed)
     return max(0.0, estimate - elapsed)
@@ -49,7 +49,9 @@
         #: each end frees.
         self._expected_ends: dict[WorkerId, list[tuple[float, Needs]]] = {}
 
-    def capacity_expected_at(self, worker: Worker, needs: Needs, capacity: ScratchRoom) -> float:
+    def capacity_expected_at(
+        self, worker: Worker, needs: Needs, capacity: ScratchCapacity
+    ) -> float:
         """Return when a worker will have capacity for one more task; infinity if not known."""
         processors_milli, memory_mb, accelerators = capacity.free(worker)
         if _fits(processors_milli, memory_mb, accelerators, needs):
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -4,19 +4,23 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import FEWEST_ASKED, AdviceChooser
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_need import AdviceNeed
-from onyxspoke.core.placement.offer import Offer, has_label
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import MINIMUM_WORKERS_PER_CALL, AdviceTargetSelector
+from onyxspoke.core.placement.advice_timing import AdviceTiming
+from onyxspoke.core.placement.capacity_seeker import PreemptionRequest
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.preemption import Preemption, capacity_freed_soon, choose_preemption
-from onyxspoke.core.placement.queue_order import step_rank_of
+from onyxspoke.core.placement.queue_order import step_rank_in_queue
 from onyxspoke.core.placement.reservations import CapacityReservations, MemberSlots, can_ever_fit
-from onyxspoke.core.placement.room import ScratchRoom
-from onyxspoke.core.placement.room_seeker import Eviction
-from onyxspoke.core.placement.spreading import Placement, StepPlacement, is_far
+from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
+from onyxspoke.core.placement.spreading import Placement, StepPlacement, is_off_preferred_rack
 from onyxspoke.core.placement.step_advice import StepAdvice
-from onyxspoke.core.placement.worker_pace import ALIKE, PaceChooser, pace_chooser
+from onyxspoke.core.placement.worker_speed_preference import (
+    NEUTRAL_SPEED_SCORE,
+    SpeedPreference,
+    speed_preference,
+)
 from onyxspoke.core.placement.workers import Worker
 
 #: Tickets for a gang are requested once this share of its members has free capacity.
@@ -47,31 +51,33 @@
 
     def __init__(
         self,
-        advice_dispatcher: AdviceDesk,
+        advice_dispatcher: AdviceDispatcher,
         reservations: CapacityReservations,
-        advice_need: AdviceNeed,
+        advice_timing: AdviceTiming,
         stop_seconds: float,
     ) -> None:
         self._advice_dispatcher = advice_dispatcher
-        self._advice_need = advice_need
+        self._advice_timing = advice_timing
         self._reservations = reservations
         self._stop_seconds = stop_seconds
-        self.preemption_requests: list[Eviction] = []
+        self.preemption_requests: list[PreemptionRequest] = []
 
     def place(
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         placement_pass: PlacementPass,
     ) -> StepPlacement | None:
         """Return where a gang starts now, or ``None``; capacity may then be reserved for it."""
         if len(step.waiting) < len(step.tasks):
             return None
-        advice = self._advice_dispatcher.advice_on(step) if queue.advice is not None else None
-        workers = _eligible_workers(step, advice, offer, placement_pass.now)
-        chooser = pace_chooser(step, workers, placement_pass.minds_speed, placement_pass.now)
-        slots = _free_slots(step, workers, placement_pass.room, placement_pass.now, chooser)
+        advice = self._advice_dispatcher.advice_for(step) if queue.advice is not None else None
+        workers = _eligible_workers(step, advice, schedulable, placement_pass.now)
+        preference = speed_preference(
+            step, workers, placement_pass.is_speed_aware, placement_pass.now
+        )
+        slots = _free_slots(step, workers, placement_pass.capacity, placement_pass.now, preference)
         usable_slots = slots
         if advice is not None:
             tickets = advice.tickets
@@ -83,43 +89,48 @@
         members = _choose_slots(step, usable_slots, placement_pass.now)
         if members is not None:
             self._reservations.drop(step.key)
-            return _start_gang(step, members, advice, placement_pass.room)
+            return _start_gang(step, members, advice, placement_pass.capacity)
         may_hold = self._reservations.holds(step.key) or self._reservations.is_within_share(
-            offer.processors_milli
+            schedulable.processors_milli
         )
         if may_hold and can_ever_fit(step, workers):
             slots = self._slots_to_reserve(step, queue, workers, slots, placement_pass)
-            self._reservations.hold(step, slots, placement_pass.room, placement_pass.now)
+            self._reservations.hold(step, slots, placement_pass.capacity, placement_pass.now)
         else:
             self._reservations.drop(step.key)
-        self._request_tickets(step, queue, offer, slots, placement_pass)
+        self._request_tickets(step, queue, schedulable, slots, placement_pass)
         return None
 
     def _request_tickets(
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         slots: list[MemberSlots],
         placement_pass: PlacementPass,
     ) -> None:
         """Request the tickets that a gang lacks for capacity that is free now, or will be soon."""
         if queue.advice is None:
             return
-        advice = self._advice_dispatcher.advice_on(step)
-        rank = step_rank_of(step, queue, placement_pass.now)
-        may_fit = offer.may_fit(step.needs)
-        if not advice.is_asking and (
-            advice.asked
-            or self._advice_need.is_of_use(step, queue, rank, may_fit, placement_pass.now)
+        advice = self._advice_dispatcher.advice_for(step)
+        rank = step_rank_in_queue(step, queue, placement_pass.now)
+        may_fit = schedulable.may_fit(step.needs)
+        if not advice.has_open_calls and (
+            advice.queried_workers
+            or self._advice_timing.should_request(step, queue, rank, may_fit, placement_pass.now)
         ):
-            chooser = AdviceChooser(
-                step, offer, placement_pass.room, self._advice_dispatcher.good_share(queue.name)
+            target_selector = AdviceTargetSelector(
+                step,
+                schedulable,
+                placement_pass.capacity,
+                self._advice_dispatcher.approval_rate(queue.name),
             )
             worker_ids = _workers_to_ask_about(
-                step, queue.advice, advice, offer, slots, chooser, placement_pass.now
+                step, queue.advice, advice, schedulable, slots, target_selector, placement_pass.now
+            )
+            self._advice_dispatcher.request_advice(
+                step, queue.advice, worker_ids, rank, placement_pass.now
             )
-            self._advice_dispatcher.want(step, queue.advice, worker_ids, rank, placement_pass.now)
 
     def _slots_to_reserve(
         self,
@@ -136,7 +147,8 @@
         if missing_count <= 0:
             return reserved
         soon = _first_members(
-            _slots_freed_soon(step, workers, placement_pass.room, placement_pass.now), missing_count
+            _slots_freed_soon(step, workers, placement_pass.capacity, placement_pass.now),
+            missing_count,
         )
         reserved += soon
         missing_count -= _slot_count(soon)
@@ -153,8 +165,8 @@
         held_since = self._reservations.held_since(step.key)
         if held_since is None or now - held_since < PREEMPT_AFTER_SECONDS:
             return False
-        rank = step_rank_of(step, queue, now)
-        if rank.is_beyond_share:
+        rank = step_rank_in_queue(step, queue, now)
+        if rank.is_over_share:
             return False
         return now + self._stop_seconds + START_DELAY_SECONDS <= rank.latest_start
 
@@ -180,7 +192,7 @@
                 queue.priority,
                 step.needs,
                 remaining_workers,
-                placement_pass.room,
+                placement_pass.capacity,
                 placement_pass.policy,
                 placement_pass.now,
             )
@@ -190,18 +202,20 @@
             remaining_workers = [
                 worker for worker in remaining_workers if worker is not next_preemption.worker
             ]
-        self.preemption_requests += [Eviction(step, preemption) for preemption in chosen]
+        self.preemption_requests += [PreemptionRequest(step, preemption) for preemption in chosen]
         return [MemberSlots(preemption.worker, 1) for preemption in chosen]
 
 
 def _eligible_workers(
-    step: StepProgress, advice: StepAdvice | None, offer: Offer, now: float
+    step: StepProgress, advice: StepAdvice | None, schedulable: SchedulableWorkers, now: float
 ) -> list[Worker]:
     """Return the workers that may run members of a gang, whether or not they have capacity."""
     if advice is None:
-        workers = list(offer.workers.values())
+        workers = list(schedulable.workers.values())
     else:
-        workers = [offer.workers[name] for name in advice.tickets if name in offer.workers]
+        workers = [
+            schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
+        ]
     return [
         worker
         for worker in workers
@@ -212,9 +226,9 @@
 def _free_slots(
     step: StepProgress,
     workers: list[Worker],
-    capacity: ScratchRoom,
+    capacity: ScratchCapacity,
     now: float,
-    chooser: PaceChooser | None,
+    preference: SpeedPreference | None,
 ) -> list[MemberSlots]:
     """Return how many members each worker has free capacity for, the best workers first.
 
@@ -229,9 +243,9 @@
         if count > 0:
             score = (
                 int(worker.worker_id in failed_on),
-                int(worker.health.is_doubtful(now)),
-                int(is_far(worker, step)),
-                (ALIKE if chooser is None else chooser.terms(worker)),
+                int(worker.health.is_suspected(now)),
+                int(is_off_preferred_rack(worker, step)),
+                (NEUTRAL_SPEED_SCORE if preference is None else preference.score(worker)),
                 -count,
                 capacity.free_processors(worker),
                 worker.worker_id,
@@ -242,7 +256,7 @@
 
 
 def _slots_freed_soon(
-    step: StepProgress, workers: list[Worker], capacity: ScratchRoom, now: float
+    step: StepProgress, workers: list[Worker], capacity: ScratchCapacity, now: float
 ) -> list[MemberSlots]:
     """Return how many additional members each worker will soon have capacity for."""
     max_per_worker = step.most_on_a_worker
@@ -298,7 +312,10 @@
 
 
 def _start_gang(
-    step: StepProgress, members: list[MemberSlots], advice: StepAdvice | None, capacity: ScratchRoom
+    step: StepProgress,
+    members: list[MemberSlots],
+    advice: StepAdvice | None,
+    capacity: ScratchCapacity,
 ) -> StepPlacement:
     placements = []
     tasks = iter(step.tasks)
@@ -313,9 +330,9 @@
     step: StepProgress,
     policy: AdvicePolicy,
     advice: StepAdvice,
-    offer: Offer,
+    schedulable: SchedulableWorkers,
     slots: list[MemberSlots],
-    chooser: AdviceChooser,
+    target_selector: AdviceTargetSelector,
     now: float,
 ) -> list[str]:
     """Return the workers for which a gang needs tickets.
@@ -326,21 +343,25 @@
     workers whose tickets are about to expire.
     """
     member_count = len(step.tasks)
-    suitable_workers = [offer.workers[name] for name in advice.tickets if name in offer.workers]
-    is_due = now >= advice.unknown_due_at
-    unknown_count = len(offer.workers.keys() - advice.asked)
-    if not can_ever_fit(step, suitable_workers) and (is_due or unknown_count >= FEWEST_ASKED):
-        if unknown_count < FEWEST_ASKED and advice.asked:
-            advice.unknown_due_at = now + UNKNOWN_WORKERS_INTERVAL_SECONDS
-        return chooser.all_unknown(advice)
+    suitable_workers = [
+        schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
+    ]
+    is_due = now >= advice.new_workers_due_at
+    unknown_count = len(schedulable.workers.keys() - advice.queried_workers)
+    if not can_ever_fit(step, suitable_workers) and (
+        is_due or unknown_count >= MINIMUM_WORKERS_PER_CALL
+    ):
+        if unknown_count < MINIMUM_WORKERS_PER_CALL and advice.queried_workers:
+            advice.new_workers_due_at = now + UNKNOWN_WORKERS_INTERVAL_SECONDS
+        return target_selector.all_new_targets(advice)
     unknown_with_capacity: list[str] = []
     missing_count = member_count - _slot_count(slots)
     if missing_count > 0:
-        unknown_with_capacity = chooser.unknown_with_room(missing_count, advice)
+        unknown_with_capacity = target_selector.new_targets_with_capacity(missing_count, advice)
     if _slot_count(slots) < MIN_READY_MEMBER_SHARE * member_count:
         if not unknown_with_capacity or not is_due:
             return []
-        advice.unknown_due_at = now + UNKNOWN_WORKERS_INTERVAL_SECONDS
+        advice.new_workers_due_at = now + UNKNOWN_WORKERS_INTERVAL_SECONDS
         return unknown_with_capacity
     needed_until = now + policy.call_seconds(len(slots)) + TICKET_RENEWAL_MARGIN_SECONDS
     worker_ids = [item.worker.worker_id for item in slots]
--- a/src/onyxspoke/core/placement/placement_pass.py
+++ b/src/onyxspoke/core/placement/placement_pass.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from onyxspoke.core.jobs.policy import PolicySet
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.tenants.ledger import QuotaPass
 
 
@@ -21,14 +21,14 @@
         What each tenant may still start within its quota.
     now : float
         The time of the pass.
-    room : ScratchRoom
+    capacity : ScratchCapacity
         The free capacity of the workers, less what the pass has already used or reserved.
-    minds_speed : bool
+    is_speed_aware : bool
         Whether the speeds of workers affect the choice among them.
     """
 
     policy: PolicySet
     quotas: QuotaPass
     now: float
-    room: ScratchRoom = field(default_factory=ScratchRoom)
-    minds_speed: bool = True
+    capacity: ScratchCapacity = field(default_factory=ScratchCapacity)
+    is_speed_aware: bool = True
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -10,21 +10,21 @@
 from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy, StepKey
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import AdviceChooser, pause_seconds
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_need import AdviceNeed
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import AdviceTargetSelector, call_interval_seconds
+from onyxspoke.core.placement.advice_timing import AdviceTiming
+from onyxspoke.core.placement.capacity_seeker import CapacitySeeker, PreemptionRequest
 from onyxspoke.core.placement.gang_placer import GangPlacer
-from onyxspoke.core.placement.offer import Offer, has_label
 from onyxspoke.core.placement.placement_pass import PlacementPass
-from onyxspoke.core.placement.queue_order import step_rank_of
-from onyxspoke.core.placement.renewal_room import RenewalRoom
+from onyxspoke.core.placement.queue_order import step_rank_in_queue
+from onyxspoke.core.placement.renewal_reservations import RenewalReservations
 from onyxspoke.core.placement.reservations import CapacityReservations
-from onyxspoke.core.placement.room_seeker import CapacitySeeker, Eviction
+from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
 from onyxspoke.core.placement.spreading import (
     Candidate,
     StepPlacement,
-    counts_on_workers,
     place_tasks,
+    task_counts_by_worker,
 )
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.worker_table import WorkerTable
@@ -57,20 +57,20 @@
     def __init__(
         self,
         table: WorkerTable,
-        advice_dispatcher: AdviceDesk,
+        advice_dispatcher: AdviceDispatcher,
         stop_seconds: float,
-        minds_speed: bool = True,
+        is_speed_aware: bool = True,
     ) -> None:
-        self._minds_speed = minds_speed
+        self._minds_speed = is_speed_aware
         self._table = table
         self._advice_dispatcher = advice_dispatcher
         #: The table's change number at the last evaluation of each step that found no capacity.
         self._blocked_at_change: dict[StepKey, int] = {}
         self._reservations = CapacityReservations(table)
         self._capacity_seeker = CapacitySeeker(advice_dispatcher, self._reservations, stop_seconds)
-        self._advice_need = AdviceNeed(table, advice_dispatcher, stop_seconds)
+        self._advice_timing = AdviceTiming(table, advice_dispatcher, stop_seconds)
         self._gang_placer = GangPlacer(
-            advice_dispatcher, self._reservations, self._advice_need, stop_seconds
+            advice_dispatcher, self._reservations, self._advice_timing, stop_seconds
         )
         #: When each waiting step is evaluated next, even if no worker has gained capacity.
         self._reevaluate_at: dict[StepKey, float] = {}
@@ -80,7 +80,7 @@
         #: Steps that their tenants' quotas began to hold back since the last call.
         self._newly_over_quota: list[StepProgress] = []
 
-    def take_evictions(self) -> list[Eviction]:
+    def take_preemption_requests(self) -> list[PreemptionRequest]:
         """Return the preemptions that were chosen since the last call."""
         preemption_requests = (
             self._capacity_seeker.preemption_requests + self._gang_placer.preemption_requests
@@ -116,15 +116,17 @@
         self._table.note_availability(now)
         self._forget_others({step.key for step in steps})
         step_placements: list[StepPlacement] = []
-        placement_pass = PlacementPass(policy, quotas, now, minds_speed=self._minds_speed)
+        placement_pass = PlacementPass(policy, quotas, now, is_speed_aware=self._minds_speed)
         self._capacity_seeker.begin_pass(now)
-        self._advice_need.begin_pass(now)
-        offers = _Offers(self._table)
+        self._advice_timing.begin_pass(now)
+        schedulable_by_service = _SchedulableByService(self._table)
         capacity_gains = _CapacityGains(self._table)
         blocked_at_change: dict[StepKey, int] = {}
         search_count = placed_count = 0
-        renewals = RenewalRoom(self._advice_dispatcher)
-        for step in renewals.in_order(steps, offers.for_service, placement_pass):
+        renewal_reservations = RenewalReservations(self._advice_dispatcher)
+        for step in renewal_reservations.steps_by_rank(
+            steps, schedulable_by_service.for_service, placement_pass
+        ):
             max_tasks = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
             if step.note_quota(max_tasks == 0, now):
@@ -139,7 +141,7 @@
             ):
                 # The changes since then count when the gang is evaluated next.
                 blocked_at_change[step.key] = blocked_since
-                self._advice_need.note_waiting(step, service, max_tasks)
+                self._advice_timing.note_waiting(step, service, max_tasks)
                 continue
             may_search = not step.spec.gang and search_count < MAXIMUM_CAPACITY_SEARCHES
             is_due = now >= self._reevaluate_at.get(step.key, math.inf)
@@ -149,12 +151,14 @@
             remaining_tasks = max_tasks
             if may_start or is_due:
                 queue = policy.queue_of(step.job.spec)
-                offer = offers.for_service(queue.service)
-                step_placement = self._place_step(step, queue, offer, placement_pass, max_tasks)
+                schedulable = schedulable_by_service.for_service(queue.service)
+                step_placement = self._place_step(
+                    step, queue, schedulable, placement_pass, max_tasks
+                )
                 self._reevaluate_at[step.key] = now + SWEEP_SECONDS
                 if may_search:
                     search_count += self._search_capacity(
-                        step, queue, step_placement, offer, placement_pass, max_tasks
+                        step, queue, step_placement, schedulable, placement_pass, max_tasks
                     )
                 elif step_placement is not None and not may_start:
                     self._overlooked.append(step)
@@ -166,10 +170,10 @@
                     if placed_count >= MAXIMUM_PLACEMENTS:
                         return step_placements
             else:
-                self._reservations.hold_again(step, placement_pass.room)
+                self._reservations.hold_again(step, placement_pass.capacity)
             blocked_at_change[step.key] = self._table.change_number
-            self._advice_need.note_waiting(step, service, remaining_tasks)
-            renewals.note_waiting(step, remaining_tasks)
+            self._advice_timing.note_waiting(step, service, remaining_tasks)
+            renewal_reservations.note_waiting(step, remaining_tasks)
         self._blocked_at_change = blocked_at_change
         return step_placements
 
@@ -184,39 +188,44 @@
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         placement_pass: PlacementPass,
         max_tasks: int,
     ) -> StepPlacement | None:
         if step.spec.gang:
-            gang_placement = self._gang_placer.place(step, queue, offer, placement_pass)
+            gang_placement = self._gang_placer.place(step, queue, schedulable, placement_pass)
             if gang_placement is None and not self._reservations.holds(step.key):
                 self._gang_reevaluate_at[step.key] = placement_pass.now + GANG_REEVALUATION_SECONDS
             else:
                 self._gang_reevaluate_at.pop(step.key, None)
             return gang_placement
-        may_fit = offer.may_fit(step.needs)
-        candidates = self._candidates(step, queue, offer, placement_pass.now)
+        may_fit = schedulable.may_fit(step.needs)
+        candidates = self._candidates(step, queue, schedulable, placement_pass.now)
         if queue.advice is not None:
-            advice = self._advice_dispatcher.advice_on(step)
-            rank = step_rank_of(step, queue, placement_pass.now)
-            if not advice.is_asking and (
+            advice = self._advice_dispatcher.advice_for(step)
+            rank = step_rank_in_queue(step, queue, placement_pass.now)
+            if not advice.has_open_calls and (
                 advice.tickets
-                or self._advice_need.is_of_use(step, queue, rank, may_fit, placement_pass.now)
+                or self._advice_timing.should_request(
+                    step, queue, rank, may_fit, placement_pass.now
+                )
             ):
-                chooser = AdviceChooser(
-                    step, offer, placement_pass.room, self._advice_dispatcher.good_share(queue.name)
+                target_selector = AdviceTargetSelector(
+                    step,
+                    schedulable,
+                    placement_pass.capacity,
+                    self._advice_dispatcher.approval_rate(queue.name),
                 )
                 worker_ids = _workers_to_ask_about(
                     queue.advice,
                     advice,
-                    chooser,
+                    target_selector,
                     candidates,
                     max_tasks,
                     placement_pass.now,
                     self._advice_dispatcher,
                 )
-                self._advice_dispatcher.want(
+                self._advice_dispatcher.request_advice(
                     step, queue.advice, worker_ids, rank, placement_pass.now
                 )
         if not may_fit or not candidates:
@@ -224,21 +233,21 @@
         return place_tasks(
             step,
             candidates,
-            placement_pass.room,
+            placement_pass.capacity,
             max_tasks,
             placement_pass.now,
-            placement_pass.minds_speed,
+            placement_pass.is_speed_aware,
         )
 
     def _candidates(
-        self, step: StepProgress, queue: QueuePolicy, offer: Offer, now: float
+        self, step: StepProgress, queue: QueuePolicy, schedulable: SchedulableWorkers, now: float
     ) -> list[Candidate]:
         """Return the workers on which the step may be started now."""
         if queue.advice is None:
-            candidates = [Candidate(worker, "") for worker in offer.workers.values()]
+            candidates = [Candidate(worker, "") for worker in schedulable.workers.values()]
         else:
             candidates = _candidates_with_ticket(
-                self._advice_dispatcher.advice_on(step), offer, now
+                self._advice_dispatcher.advice_for(step), schedulable, now
             )
         return [item for item in candidates if has_label(item.worker, step)]
 
@@ -247,7 +256,7 @@
         step: StepProgress,
         queue: QueuePolicy,
         step_placement: StepPlacement | None,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         placement_pass: PlacementPass,
         max_tasks: int,
     ) -> int:
@@ -258,22 +267,22 @@
             self._reservations.drop(step.key)
             return 0
         self._reevaluate_at[step.key] = placement_pass.now + REEVALUATION_SECONDS
-        advice = self._advice_dispatcher.advice_on(step) if queue.advice is not None else None
-        counts = counts_on_workers(step)
+        advice = self._advice_dispatcher.advice_for(step) if queue.advice is not None else None
+        counts = task_counts_by_worker(step)
         if advice is None:
-            offered_workers = list(offer.workers.values())
+            eligible_workers = list(schedulable.workers.values())
         else:
-            offered_workers = [
-                offer.workers[name] for name in advice.tickets if name in offer.workers
+            eligible_workers = [
+                schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
             ]
         workers = [
             worker
-            for worker in offered_workers
+            for worker in eligible_workers
             if has_label(worker, step)
-            and not worker.health.is_doubtful(placement_pass.now)
+            and not worker.health.is_suspected(placement_pass.now)
             and counts.get(worker.worker_id, 0) < step.most_on_a_worker
         ]
-        total_processors_milli = offer.processors_milli
+        total_processors_milli = schedulable.processors_milli
         self._capacity_seeker.reserve_or_preempt(
             step, queue, workers, total_processors_milli, placement_pass
         )
@@ -288,7 +297,7 @@
         self._workers_by_change: dict[int, list[Worker]] = {}
 
     def may_help(
-        self, step: StepProgress, blocked_since: int, advice_dispatcher: AdviceDesk
+        self, step: StepProgress, blocked_since: int, advice_dispatcher: AdviceDispatcher
     ) -> bool:
         """Return whether any of these workers may run a step that found no capacity before."""
         changed_workers = self._workers_by_change.get(blocked_since)
@@ -306,20 +315,20 @@
         return False
 
 
-class _Offers:
+class _SchedulableByService:
     """The workers on which runs may be started, by service."""
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
-        self._by_service: dict[str, Offer] = {}
+        self._by_service: dict[str, SchedulableWorkers] = {}
 
-    def for_service(self, service: str) -> Offer:
-        """Return the offer of a service, which is created once in a pass."""
-        offer = self._by_service.get(service)
-        if offer is None:
-            offer = Offer(self._table.offered(service))
-            self._by_service[service] = offer
-        return offer
+    def for_service(self, service: str) -> SchedulableWorkers:
+        """Return the schedulable workers of a service, collected once in a pass."""
+        schedulable = self._by_service.get(service)
+        if schedulable is None:
+            schedulable = SchedulableWorkers(self._table.offered(service))
+            self._by_service[service] = schedulable
+        return schedulable
 
 
 def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
@@ -333,10 +342,12 @@
     return min(slots, len(step.waiting))
 
 
-def _candidates_with_ticket(advice: StepAdvice, offer: Offer, now: float) -> list[Candidate]:
+def _candidates_with_ticket(
+    advice: StepAdvice, schedulable: SchedulableWorkers, now: float
+) -> list[Candidate]:
     candidates = []
     for worker_id, ticket in advice.tickets.items():
-        worker = offer.workers.get(worker_id)
+        worker = schedulable.workers.get(worker_id)
         if worker is not None and now < ticket.use_before:
             candidates.append(Candidate(worker, ticket.text))
     return candidates
@@ -345,22 +356,26 @@
 def _workers_to_ask_about(
     policy: AdvicePolicy,
     advice: StepAdvice,
-    chooser: AdviceChooser,
+    target_selector: AdviceTargetSelector,
     candidates: list[Candidate],
     max_tasks: int,
     now: float,
-    advice_dispatcher: AdviceDesk,
+    advice_dispatcher: AdviceDispatcher,
 ) -> list[str]:
     """Return the workers for which tickets are missing that would let ``max_tasks`` tasks start."""
     if not advice.tickets:
-        return chooser.unknown(max_tasks, advice)
-    missing_count = max_tasks - sum(chooser.slots_now(item.worker) for item in candidates)
+        return target_selector.first_targets(max_tasks, advice)
+    missing_count = max_tasks - sum(target_selector.free_slots(item.worker) for item in candidates)
     if missing_count <= 0:
         return []
-    choose_renewals = chooser.again_for_long if advice_dispatcher.has_shares else chooser.again
+    choose_renewals = (
+        target_selector.renewal_targets_ahead
+        if advice_dispatcher.uses_fair_shares
+        else target_selector.renewal_targets
+    )
     renewals = choose_renewals(missing_count, advice, now)
-    if renewals or now < advice.unknown_due_at:
+    if renewals or now < advice.new_workers_due_at:
         return renewals
-    unknown_workers = chooser.unknown_with_room(missing_count, advice)
-    advice.unknown_due_at = now + pause_seconds(policy, len(unknown_workers))
+    unknown_workers = target_selector.new_targets_with_capacity(missing_count, advice)
+    advice.new_workers_due_at = now + call_interval_seconds(policy, len(unknown_workers))
     return unknown_workers
--- a/src/onyxspoke/core/placement/preemption.py
+++ b/src/onyxspoke/core/placement/preemption.py
@@ -14,8 +14,8 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.forecast import remaining_seconds
-from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
 #: A run that is expected to end within this many seconds is not preempted, because a stop takes
@@ -47,7 +47,7 @@
     priority: int,
     needs: Needs,
     workers: list[Worker],
-    capacity: ScratchRoom,
+    capacity: ScratchCapacity,
     policy: PolicySet,
     now: float,
 ) -> Preemption | None:
@@ -82,7 +82,7 @@
     worker: Worker,
     priority: int,
     needs: Needs,
-    capacity: ScratchRoom,
+    capacity: ScratchCapacity,
     policy: PolicySet,
     now: float,
 ) -> Preemption | None:
--- a/src/onyxspoke/core/placement/queue_order.py
+++ b/src/onyxspoke/core/placement/queue_order.py
@@ -21,7 +21,7 @@
 EXPIRY_FACTOR = 3.0
 #: Estimates may be too high: a job counts as late only once even this share of its estimated
 #: remaining work can no longer finish within its objective.
-CERTAIN_SHARE = 0.7
+CERTAIN_ESTIMATE_SHARE = 0.7
 
 
 class Lateness(IntEnum):
@@ -35,31 +35,31 @@
 class StepRank(NamedTuple):
     """The rank of a step in the waiting queue; the lowest rank is placed first.
 
-    ``is_expired`` says that nobody waits for the step's job any more.  ``is_beyond_share`` says
+    ``is_expired`` says that nobody waits for the step's job any more.  ``is_over_share`` says
     that the job's tenant was over its fair share when it submitted the job.  ``latest_start`` is
     the time, in the holder's seconds, by which the step must start for its job to meet the
     objective.  ``step`` is the number of the step in its job.
     """
 
     is_expired: bool
-    is_beyond_share: bool
+    is_over_share: bool
     priority: int
     lateness: Lateness
     latest_start: float
     step: int
 
     @property
-    def is_owed(self) -> bool:
+    def is_entitled(self) -> bool:
         """Whether the job has not expired, and its tenant submitted it within its fair share."""
-        return not (self.is_expired or self.is_beyond_share)
+        return not (self.is_expired or self.is_over_share)
 
 
 def step_rank(step: StepProgress, policy: PolicySet, now: float) -> StepRank:
     """Return a step's rank under the configuration in force."""
-    return step_rank_of(step, policy.queue_of(step.job.spec), now)
+    return step_rank_in_queue(step, policy.queue_of(step.job.spec), now)
 
 
-def step_rank_of(step: StepProgress, queue: QueuePolicy, now: float) -> StepRank:
+def step_rank_in_queue(step: StepProgress, queue: QueuePolicy, now: float) -> StepRank:
     """Return a step's rank in a given queue."""
     job = step.job
     objective_seconds = job.expected_objective_seconds
@@ -70,7 +70,7 @@
     lateness = _lateness(step, objective_seconds, chain_seconds, now)
     return StepRank(
         lateness is Lateness.EXPIRED,
-        job.spec.is_beyond_share,
+        job.spec.is_over_share,
         queue.priority,
         lateness,
         latest_start,
@@ -78,7 +78,7 @@
     )
 
 
-def rank_as_of(rank: StepRank, step: StepProgress, now: float) -> StepRank:
+def refreshed_rank(rank: StepRank, step: StepProgress, now: float) -> StepRank:
     """Return a step's rank with its lateness updated; priority and share stay as they were."""
     objective_seconds = step.job.expected_objective_seconds
     chain_seconds = step.expected_chain_seconds
@@ -95,7 +95,7 @@
     if step.spec.long_running:
         return math.inf
     # The due time less the work that is certain to remain.
-    adjusted_due_at = step.due_at - CERTAIN_SHARE * step.expected_chain_seconds
+    adjusted_due_at = step.due_at - CERTAIN_ESTIMATE_SHARE * step.expected_chain_seconds
     objective_seconds = step.job.expected_objective_seconds
     for change_at in (
         adjusted_due_at + objective_seconds,
@@ -111,7 +111,7 @@
 ) -> Lateness:
     if step.spec.long_running:
         return Lateness.ON_TIME
-    earliest_end = now + CERTAIN_SHARE * chain_seconds
+    earliest_end = now + CERTAIN_ESTIMATE_SHARE * chain_seconds
     if earliest_end <= step.due_at + objective_seconds:
         return Lateness.ON_TIME
     if earliest_end <= step.due_at + EXPIRY_FACTOR * objective_seconds:
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -13,13 +13,13 @@
 from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import StepKey
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
 
 #: A further step may reserve capacity only while the existing reservations hold at most this share
 #: of a service's processors.
-HELD_SHARE = 0.2
+MAX_HELD_CAPACITY_SHARE = 0.2
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
         return None if reservation is None else reservation.since
 
     def hold(
-        self, step: StepProgress, slots: list[MemberSlots], capacity: ScratchRoom, now: float
+        self, step: StepProgress, slots: list[MemberSlots], capacity: ScratchCapacity, now: float
     ) -> None:
         """Reserve capacity for a step, in place of its previous reservation."""
         previous = self._reservations.get(step.key)
@@ -68,7 +68,7 @@
             self._release(previous, {item.worker.worker_id for item in slots})
         self.hold_again(step, capacity)
 
-    def hold_again(self, step: StepProgress, capacity: ScratchRoom) -> None:
+    def hold_again(self, step: StepProgress, capacity: ScratchCapacity) -> None:
         """Apply a step's existing reservation in a new pass."""
         reservation = self._reservations.get(step.key)
         if reservation is not None:
@@ -91,13 +91,13 @@
         reserved_milli = sum(
             reservation.processors_milli for reservation in self._reservations.values()
         )
-        return reserved_milli <= HELD_SHARE * total_processors_milli
+        return reserved_milli <= MAX_HELD_CAPACITY_SHARE * total_processors_milli
 
     def _release(self, reservation: _Reservation, kept_worker_ids: set[str]) -> None:
         """Mark released capacity as gained, so that blocked steps are evaluated again."""
         for item in reservation.slots:
             if item.worker.worker_id not in kept_worker_ids:
-                self._table.note_gain(item.worker)
+                self._table.note_capacity_gain(item.worker)
 
 
 def can_ever_fit(step: StepProgress, workers: list[Worker]) -> bool:
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -31,11 +31,18 @@
         Whether a member ended without success, or never started, so that the others are stopped.
     counts_as_failure : bool
         Whether a member ended with the result ``failed``.
-    is_told : bool
+    is_duration_recorded : bool
         Whether the end of the gang was already processed for the duration estimates.
     """
 
-    __slots__ = ("counts_as_failure", "is_broken", "is_told", "members", "number", "step")
+    __slots__ = (
+        "counts_as_failure",
+        "is_broken",
+        "is_duration_recorded",
+        "members",
+        "number",
+        "step",
+    )
 
     def __init__(self, step: StepProgress, number: int) -> None:
         self.step = step
@@ -43,7 +50,7 @@
         self.members: list[Run] = []
         self.is_broken = False
         self.counts_as_failure = False
-        self.is_told = False
+        self.is_duration_recorded = False
 
     @property
     def is_over(self) -> bool:
@@ -56,7 +63,7 @@
 
     Attributes
     ----------
-    until_ms : int
+    start_valid_until_ms : int
         The reading of the worker's clock, in milliseconds, after which the start order is void.
     ordered_at : float
         When this holder ordered the start; 0 if a previous holder ordered it.
@@ -71,14 +78,14 @@
     is_resumed : bool
         Whether the work began in an earlier run or under a previous holder, so that the progress
         does not start from zero at the start of this run.
-    moved_at : float
+    progressed_at : float
         When the reported progress last changed.
     usage : int
         A coarse figure that the worker reports: the processors in use or, for a serving task, its
         tail latency in milliseconds.
     evidence : RunEvidence or None
         What the progress of the run shows about task durations.
-    pace_percent, pace_wanted : int
+    pace_percent, ordered_pace_percent : int
         The share of full speed at which a filler run may work: the value that the worker last
         acknowledged, and the value that was last ordered.
     """
@@ -89,20 +96,20 @@
         "gang",
         "is_resumed",
         "listed_at",
-        "moved_at",
         "needs",
         "number",
         "ordered_at",
+        "ordered_pace_percent",
         "pace_percent",
         "pace_sent_at",
-        "pace_wanted",
         "percent",
+        "progressed_at",
         "sent_at",
+        "start_valid_until_ms",
         "state",
         "stop_answered_at",
         "stop_sent_at",
         "task",
-        "until_ms",
         "usage",
         "worker",
     )
@@ -121,7 +128,7 @@
         self.needs: Needs = task.step.needs
         self.state = RunState.PLANNED
         self.gang = gang
-        self.until_ms = 0
+        self.start_valid_until_ms = 0
         self.ordered_at = 0.0
         self.sent_at = now
         self.confirmed_at = 0.0
@@ -131,10 +138,10 @@
         self.percent = 0
         self.is_resumed = False
         self.evidence: RunEvidence | None = None
-        self.moved_at = now
+        self.progressed_at = now
         self.usage = 0
         self.pace_percent = 100
-        self.pace_wanted = 100
+        self.ordered_pace_percent = 100
         self.pace_sent_at = 0.0
         if gang is not None:
             gang.members.append(self)
@@ -173,14 +180,14 @@
     # A speed factor below 1 may be wrong for this task, so it never shortens the limit.
     expected_seconds = max(run.expected_seconds, estimated_seconds(run))
     limit_seconds = STALL_SECONDS + STALL_ESTIMATE_SHARE * expected_seconds
-    moved_at = run.moved_at
+    progressed_at = run.progressed_at
     if run.gang is not None:
-        moved_at = max(member.moved_at for member in run.gang.members)
+        progressed_at = max(member.progressed_at for member in run.gang.members)
         limit_seconds += GANG_START_EXTRA_SECONDS if run.percent == 0 else 0.0
-    return seen_at - moved_at > limit_seconds
+    return seen_at - progressed_at > limit_seconds
 
 
-def run_name(key: RunKey) -> str:
+def task_log_name(key: RunKey) -> str:
     """Return the name of a run's task in log lines."""
     task = key.task
     return f"{task.job_id}.{task.repetition}.{task.step}.{task.task_index}"
--- a/src/onyxspoke/core/placement/open_starts.py
+++ b/src/onyxspoke/core/placement/unresolved_starts.py
@@ -9,7 +9,7 @@
 LATE_START_SECONDS = 13.0
 
 
-class OpenStarts:
+class UnresolvedStarts:
     """Remembers, by worker name, each start order for as long as it may still be carried out.
 
     The orders are kept apart from the worker's other state, because a name outlives that state: a
@@ -20,16 +20,16 @@
         #: When each start was ordered, oldest first.
         self._ordered_at: dict[tuple[WorkerId, RunKey], float] = {}
 
-    def handle_ordered(self, worker_id: WorkerId, run: RunKey, now: float) -> None:
+    def add_start(self, worker_id: WorkerId, run: RunKey, now: float) -> None:
         """Record a start order that is being sent."""
         self._remove_void_starts(now)
         self._ordered_at[worker_id, run] = now
 
-    def handle_answered(self, worker_id: WorkerId, run: RunKey) -> None:
+    def resolve_start(self, worker_id: WorkerId, run: RunKey) -> None:
         """Forget a start order that was answered: it was carried out, or never will be."""
         self._ordered_at.pop((worker_id, run), None)
 
-    def of_worker(self, worker_id: WorkerId, now: float) -> list[RunKey]:
+    def starts_on_worker(self, worker_id: WorkerId, now: float) -> list[RunKey]:
         """Return the starts that any incarnation under this name may still carry out."""
         self._remove_void_starts(now)
         return [run for name, run in self._ordered_at if name == worker_id]
--- a/src/onyxspoke/core/placement/worker_pace.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -16,23 +16,25 @@
 FACTOR_UNIT = 0.25
 
 
-class PaceTerms(NamedTuple):
+class SpeedScore(NamedTuple):
     """The speed components of a worker's score; the lowest is best.
 
-    ``lateness`` is 0 if the job can meet its objective on the worker; otherwise it is higher for
-    slower workers.  ``waste`` is higher for faster workers on which the job meets its objective,
+    ``lateness_penalty`` is 0 if the job can meet its objective on the worker; otherwise it is
+    higher for
+    slower workers.  ``fast_worker_penalty`` is higher for faster workers on which the job meets its
+    objective,
     so that steps with slack leave the fast workers to others.
     """
 
-    lateness: int
-    waste: int
+    lateness_penalty: int
+    fast_worker_penalty: int
 
 
 #: The score of every worker if all workers count as equally fast.
-ALIKE = PaceTerms(0, 0)
+NEUTRAL_SPEED_SCORE = SpeedScore(0, 0)
 
 
-class PaceChooser:
+class SpeedPreference:
     """Prefers fast workers for steps that are short of time, and slow workers for other steps."""
 
     def __init__(self, step: StepProgress, now: float) -> None:
@@ -43,19 +45,19 @@
             1.0 + SLACK_SHARE * slack_seconds / step_seconds if step_seconds > 0.0 else 1.0
         )
 
-    def terms(self, worker: Worker) -> PaceTerms:
+    def score(self, worker: Worker) -> SpeedScore:
         """Return the score of a worker's speed for the step."""
         factor = worker.speed.factor
         rounded_factor = round(factor / FACTOR_UNIT)
         if factor <= self._max_factor:
-            return PaceTerms(0, -rounded_factor)
-        return PaceTerms(rounded_factor, 0)
+            return SpeedScore(0, -rounded_factor)
+        return SpeedScore(rounded_factor, 0)
 
 
-def pace_chooser(
+def speed_preference(
     step: StepProgress, workers: Iterable[Worker], is_on: bool, now: float
-) -> PaceChooser | None:
+) -> SpeedPreference | None:
     """Return the speed preference of a step, or ``None`` if all workers count as equally fast."""
     if not is_on or step.spec.long_running or all(worker.speed.factor == 1.0 for worker in workers):
         return None
-    return PaceChooser(step, now)
+    return SpeedPreference(step, now)
--- a/src/onyxspoke/core/placement/worker_table.py
+++ b/src/onyxspoke/core/placement/worker_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import WorkerId
-from onyxspoke.core.placement.open_starts import OpenStarts
+from onyxspoke.core.placement.unresolved_starts import UnresolvedStarts
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 
 
@@ -12,13 +12,13 @@
 
     def __init__(self) -> None:
         self.workers: dict[WorkerId, Worker] = {}
-        self.open_starts = OpenStarts()
+        self.unresolved_starts = UnresolvedStarts()
         #: The workers on which runs may be started, by service, at the last availability check.
         self._offered: dict[str, list[Worker]] = {}
         #: Increases whenever a worker gains free capacity or becomes available.
         self.change_number = 0
 
-    def note_gain(self, worker: Worker) -> None:
+    def note_capacity_gain(self, worker: Worker) -> None:
         """Record that a worker gained free capacity or became available."""
         self.change_number += 1
         worker.gained_at_change = self.change_number
@@ -31,7 +31,7 @@
             if is_offered:
                 self._offered.setdefault(worker.record.service, []).append(worker)
                 if not worker.was_offered:
-                    self.note_gain(worker)
+                    self.note_capacity_gain(worker)
             worker.was_offered = is_offered
 
     def changed_since(self, change_number: int) -> list[Worker]:
@@ -50,10 +50,10 @@
         """Return how many runs hold capacity."""
         return sum(len(worker.runs) for worker in self.workers.values())
 
-    def unsettled(self) -> list[Worker]:
+    def unreconciled(self) -> list[Worker]:
         """Return the workers that may still run something that a previous holder started."""
         return [
             worker
             for worker in self.workers.values()
-            if worker.contact is WorkerContact.UNSETTLED and worker.was_used_before
+            if worker.contact is WorkerContact.UNRECONCILED and worker.was_used_by_previous_holder
         ]
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -20,28 +20,30 @@
 #: The largest number of start times remembered for the previous incarnations of a worker name.  An
 #: entry of the directory may be out of date by seconds, and no worker restarts more often in that
 #: time.
-REMEMBERED_BIRTHS = 8
+MAX_PREVIOUS_STARTS = 8
 
 
 class WorkerContact(Enum):
     """What the holder knows about the runs on a worker.
 
-    ``UNSETTLED``: the worker may run anything.  ``SETTLED``: the worker has answered under this
-    holder's token, and every run on it is known.  ``SILENT``: its runs were known, but it no longer
-    answers.  ``OVER``: the incarnation has ended, and all its runs with it.
+    ``UNRECONCILED``: the worker may run anything.  ``RECONCILED``: the worker has answered under
+    this
+    holder's token, and every run on it is known.  ``UNRESPONSIVE``: its runs were known, but it no
+    longer
+    answers.  ``ENDED``: the incarnation has ended, and all its runs with it.
     """
 
-    UNSETTLED = "unsettled"
-    SETTLED = "settled"
-    SILENT = "silent"
-    OVER = "over"
+    UNRECONCILED = "unsettled"
+    RECONCILED = "settled"
+    UNRESPONSIVE = "silent"
+    ENDED = "over"
 
 
 CONTACT_TRANSITIONS: dict[WorkerContact, frozenset[WorkerContact]] = {
-    WorkerContact.UNSETTLED: frozenset({WorkerContact.SETTLED, WorkerContact.OVER}),
-    WorkerContact.SETTLED: frozenset({WorkerContact.SILENT, WorkerContact.OVER}),
-    WorkerContact.SILENT: frozenset({WorkerContact.SETTLED, WorkerContact.OVER}),
-    WorkerContact.OVER: frozenset({WorkerContact.SETTLED}),
+    WorkerContact.UNRECONCILED: frozenset({WorkerContact.RECONCILED, WorkerContact.ENDED}),
+    WorkerContact.RECONCILED: frozenset({WorkerContact.UNRESPONSIVE, WorkerContact.ENDED}),
+    WorkerContact.UNRESPONSIVE: frozenset({WorkerContact.RECONCILED, WorkerContact.ENDED}),
+    WorkerContact.ENDED: frozenset({WorkerContact.RECONCILED}),
 }
 
 
@@ -62,13 +64,13 @@
     born_ms : int
         The start time, in milliseconds, which distinguishes this incarnation from others of the
         same name; 0 until the worker has reported it.
-    former_births : tuple of int
+    previous_starts_ms : tuple of int
         The start times of ended incarnations of this name, the latest last; directory entries with
         one of them are out of date.
-    lapsed_until : float
+    missing_entry_grace_until : float
         Until when the directory entry, which vanished while the store was unreachable, may come
         back; 0 if the entry did not vanish.
-    leaves_at : float
+    earliest_exit_at : float
         The earliest time, in the holder's seconds, at which a draining worker stops.
     runs : dict of RunKey to Run
         Every run that may be active on the worker; each holds capacity.
@@ -76,10 +78,10 @@
         The health derived from the worker's runs; a worker on trial gets one run at a time.
     speed : WorkerSpeed
         How long the worker takes for its work, compared with other workers.
-    strays : dict of RunKey to float
+    orphan_runs : dict of RunKey to float
         Runs on the worker that belong to no task of the shard, with the time when their stop was
         sent.  They use an unknown amount of capacity, so no other run is started beside them.
-    open_starts : dict of RunKey to float
+    unresolved_starts : dict of RunKey to float
         Starts ordered from a previous incarnation that this one may still carry out, with the time
         when their stop was last sent.  No other run is started beside them.
     seen_through : int
@@ -88,16 +90,16 @@
     told_through : int
         The number of the last end report that is committed, so that the worker may forget all
         reports up to it.
-    unsettled_until : float
+    previous_lease_expires_at : float
         The holder's time by which every lease that a previous holder granted has expired.
     is_recorded : bool
         Whether the store records that this worker may run something for the shard.
-    was_used_before : bool
+    was_used_by_previous_holder : bool
         Whether a previous holder may have started runs on the worker.
     lease_until_ms : int
         The reading of the worker's clock, in milliseconds, until which this holder may have allowed
         runs to continue.
-    doubted_at : float
+    unanswered_order_at : float
         When a start order was left without an answer; 0 once a later poll is answered.
     retry_at : float
         No run is started on the worker before this time, after it refused a start.
@@ -107,7 +109,7 @@
         The worker's clock, in milliseconds, in the latest list of runs that was processed.
     ended_runs : dict of RunKey to RunEnd
         Runs that have ended, so that an older answer does not bring them back.
-    misses : int
+    missed_holds : int
         The number of consecutive hold requests without an answer.
     heard_at : float
         When the worker last answered any request.
@@ -122,28 +124,28 @@
     listing_at_last_answer : WorkerListing
         How the directory listed the worker when it last answered; before its first answer, the
         listing in its record.
-    kept_free_until : float
+    isolated_until : float
         No other run is started on the worker before this time, so that a task that may have crashed
         workers starts apart from other tasks.
     """
 
-    def __init__(self, record: WorkerRecord, unsettled_until: float) -> None:
+    def __init__(self, record: WorkerRecord, previous_lease_expires_at: float) -> None:
         #: The name of the worker, which other incarnations may share.
         self.worker_id = record.worker_id
         self.born_ms = record.born_ms
-        self.former_births: tuple[int, ...] = ()
+        self.previous_starts_ms: tuple[int, ...] = ()
         self.record = record
-        self.contact = WorkerContact.UNSETTLED
+        self.contact = WorkerContact.UNRECONCILED
         self.listing = record.listing
-        self.lapsed_until = 0.0
-        self.leaves_at = 0.0
+        self.missing_entry_grace_until = 0.0
+        self.earliest_exit_at = 0.0
         self.clock = WorkerClock()
         self.runs: dict[RunKey, Run] = {}
         self.health = WorkerHealth()
         self.pace = WorkerPace()
         self.speed = WorkerSpeed(record.worker_id, record.born_ms, record.kind)
-        self.strays: dict[RunKey, float] = {}
-        self.open_starts: dict[RunKey, float] = {}
+        self.orphan_runs: dict[RunKey, float] = {}
+        self.unresolved_starts: dict[RunKey, float] = {}
         #: The capacity that all runs on the worker hold together.
         self._held_processors = 0
         self._held_memory = 0
@@ -151,27 +153,27 @@
         self.seen_through = 0
         self.told_through = 0
         self.is_recorded = False
-        self.was_used_before = False
-        self.unsettled_until = unsettled_until
+        self.was_used_by_previous_holder = False
+        self.previous_lease_expires_at = previous_lease_expires_at
         self.lease_until_ms = 0
         self.retry_at = 0.0
-        self.doubted_at = 0.0
+        self.unanswered_order_at = 0.0
         self.answered_at = 0.0
         self.heard_at = 0.0
         self.poll_was_refused = False
         self.poll_timed_out = False
         self.first_heard_at = math.inf
         self.listing_at_last_answer = record.listing
-        self.kept_free_until = 0.0
+        self.isolated_until = 0.0
         self.listed_clock_ms = 0
         self.gained_at_change = 0
         self.was_offered = False
         self.ended_runs: dict[RunKey, RunEnd] = {}
         self.long_hold = HoldInFlight()
-        self.quick_hold = HoldInFlight()
+        self.immediate_hold = HoldInFlight()
         self.next_hold_at = 0.0
-        self.wants_look = False
-        self.misses = 0
+        self.poll_requested = False
+        self.missed_holds = 0
         self.silent_since = 0.0
 
     def move_to(self, contact: WorkerContact) -> None:
@@ -181,22 +183,22 @@
             self.contact = contact
 
     @property
-    def is_described(self) -> bool:
+    def is_record_current(self) -> bool:
         """Whether the record describes this incarnation; others may differ in kind and capacity."""
         return self.record.born_ms in (0, self.born_ms)
 
     def is_offered(self, now: float) -> bool:
         """Return whether runs may be started on the worker."""
         return (
-            self.contact is WorkerContact.SETTLED
+            self.contact is WorkerContact.RECONCILED
             and self.listing is WorkerListing.READY
-            and self.is_described
+            and self.is_record_current
             and self.is_recorded
-            and not self.strays
-            and not self.open_starts
-            and not self.doubted_at
+            and not self.orphan_runs
+            and not self.unresolved_starts
+            and not self.unanswered_order_at
             and now >= self.retry_at
-            and now >= self.kept_free_until
+            and now >= self.isolated_until
             and not self.health.is_avoided(now)
             and not (self.runs and self.health.is_on_trial(now))
         )
@@ -221,7 +223,7 @@
         return self.record.capacity.accelerators - self._held_accelerators
 
     @property
-    def is_over_room(self) -> bool:
+    def is_over_capacity(self) -> bool:
         """Whether the runs hold more of some resource than the worker has."""
         return self.free_processors < 0 or self.free_memory < 0 or self.free_accelerators < 0
 
@@ -248,7 +250,7 @@
         self._held_memory -= run.needs.memory_mb
         self._held_accelerators -= run.needs.accelerators
 
-    def has_fillers(self) -> bool:
+    def needs_pacing(self) -> bool:
         """Return whether filler runs run beside a serving run, or at less than full speed."""
         has_filler = has_serving = False
         for run in self.runs.values():
@@ -257,7 +259,7 @@
             has_serving = has_serving or spec.target_ms > 0
         return has_filler and (has_serving or self.pace.percent < FULL_PERCENT)
 
-    def serving_pressure(self) -> float:
+    def worst_latency_ratio(self) -> float:
         """Return the highest ratio of a serving run's tail latency to its target."""
         worst_ratio = 0.0
         for run in self.runs.values():
@@ -266,7 +268,7 @@
                 worst_ratio = max(worst_ratio, run.usage / target_ms)
         return worst_ratio
 
-    def filling_runs(self) -> list[Run]:
+    def filler_runs(self) -> list[Run]:
         """Return the running filler runs, which use capacity that other runs leave unused."""
         return [
             run
@@ -280,7 +282,7 @@
         if len(self.ended_runs) > MAX_ENDED_RUNS:
             del self.ended_runs[next(iter(self.ended_runs))]
 
-    def note_heard(self, now: float) -> None:
+    def note_answer(self, now: float) -> None:
         """Record that the worker answered, which shows that its process is there."""
         self.heard_at = now
         self.poll_was_refused = False
@@ -288,7 +290,7 @@
         self.first_heard_at = min(self.first_heard_at, now)
         self.listing_at_last_answer = self.listing
 
-    def note_unheard(self, ended_early: bool) -> None:
+    def note_failed_poll(self, ended_early: bool) -> None:
         """Record a poll without an answer; if it ended early, it was refused or reset."""
         if ended_early:
             self.poll_was_refused = True
@@ -301,6 +303,6 @@
 
     def lease_over_at(self) -> float:
         """Return the holder's time by which every lease granted so far has expired."""
-        if self.contact is WorkerContact.UNSETTLED or not self.clock.is_known:
-            return self.unsettled_until
+        if self.contact is WorkerContact.UNRECONCILED or not self.clock.is_known:
+            return self.previous_lease_expires_at
         return self.clock.passes_at(self.lease_until_ms)
