--- a/src/onyxspoke/core/placement/capacity_seeker.py
+++ b/src/onyxspoke/core/placement/capacity_seeker.py
@@ -90,7 +90,7 @@
             for worker in workers
         )
         if not forecasts:
-            self._reservations.drop(step.key)
+            self._reservations.release(step.key)
             return
         workers_by_id = {worker.worker_id: worker for worker in workers}
         earliest_at, earliest_worker_id = forecasts[0]
@@ -102,15 +102,15 @@
                     preempted_worker,
                     placement_pass.now + self._stop_seconds,
                 )
-        may_hold = self._reservations.holds(step.key) or self._reservations.is_within_share(
-            total_processors_milli
-        )
-        if may_hold and earliest_at - placement_pass.now <= RESERVE_AHEAD_SECONDS:
-            self._reservations.hold(
+        may_reserve = self._reservations.has_reservation(
+            step.key
+        ) or self._reservations.may_reserve_more(total_processors_milli)
+        if may_reserve and earliest_at - placement_pass.now <= RESERVE_AHEAD_SECONDS:
+            self._reservations.reserve(
                 step, [MemberSlots(earliest_worker, 1)], placement_pass.capacity, placement_pass.now
             )
         else:
-            self._reservations.drop(step.key)
+            self._reservations.release(step.key)
 
     def _preempt_for(
         self,
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -88,16 +88,16 @@
             ]
         members = _choose_slots(step, usable_slots, placement_pass.now)
         if members is not None:
-            self._reservations.drop(step.key)
+            self._reservations.release(step.key)
             return _start_gang(step, members, advice, placement_pass.capacity)
-        may_hold = self._reservations.holds(step.key) or self._reservations.is_within_share(
-            schedulable.processors_milli
-        )
-        if may_hold and can_ever_fit(step, workers):
+        may_reserve = self._reservations.has_reservation(
+            step.key
+        ) or self._reservations.may_reserve_more(schedulable.processors_milli)
+        if may_reserve and can_ever_fit(step, workers):
             slots = self._slots_to_reserve(step, queue, workers, slots, placement_pass)
-            self._reservations.hold(step, slots, placement_pass.capacity, placement_pass.now)
+            self._reservations.reserve(step, slots, placement_pass.capacity, placement_pass.now)
         else:
-            self._reservations.drop(step.key)
+            self._reservations.release(step.key)
         self._request_tickets(step, queue, schedulable, slots, placement_pass)
         return None
 
@@ -162,8 +162,8 @@
 
     def _may_preempt(self, step: StepProgress, queue: QueuePolicy, now: float) -> bool:
         """Return whether a gang has waited long enough, and preemption lets it start in time."""
-        held_since = self._reservations.held_since(step.key)
-        if held_since is None or now - held_since < PREEMPT_AFTER_SECONDS:
+        reserved_since = self._reservations.reserved_since(step.key)
+        if reserved_since is None or now - reserved_since < PREEMPT_AFTER_SECONDS:
             return False
         rank = step_rank_in_queue(step, queue, now)
         if rank.is_over_share:
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -38,8 +38,8 @@
 #: Every other waiting step is evaluated again after this many seconds, even if no change is known
 #: that could help it.  This sweep guards against lost or missing notifications of changes.
 SWEEP_SECONDS = 1.0
-#: A gang without a reservation is evaluated at most once in this many seconds: it needs capacity
-#: for all members at once, so a single gain of capacity rarely helps it.
+#: A gang without a reservation is evaluated at most once in this many seconds, because it needs
+#: capacity for all its members at once.
 GANG_REEVALUATION_SECONDS = 0.1
 #: The largest number of steps for which one pass reserves capacity or chooses preemptions, which
 #: bounds the duration of a pass.  Gangs are not counted.
@@ -114,7 +114,7 @@
         The capacity that the plan uses is tracked in a scratch copy; no run is added to a worker.
         """
         self._table.note_availability(now)
-        self._forget_others({step.key for step in steps})
+        self._forget_steps_not_waiting({step.key for step in steps})
         step_placements: list[StepPlacement] = []
         placement_pass = PlacementPass(policy, quotas, now, is_speed_aware=self._minds_speed)
         self._capacity_seeker.begin_pass(now)
@@ -132,14 +132,14 @@
             if step.note_quota(max_tasks == 0, now):
                 self._newly_over_quota.append(step)
             if max_tasks == 0:
-                self._reservations.drop(step.key)
+                self._reservations.release(step.key)
                 continue
             service = step.job.spec.queue.service
             blocked_since = None if was_over_quota else self._blocked_at_change.get(step.key)
             if blocked_since is not None and now < self._gang_reevaluate_at.get(
                 step.key, -math.inf
             ):
-                # The changes since then count when the gang is evaluated next.
+                # The capacity gained since then is considered when the gang is evaluated next.
                 blocked_at_change[step.key] = blocked_since
                 self._advice_timing.note_waiting(step, service, max_tasks)
                 continue
@@ -170,16 +170,16 @@
                     if placed_count >= MAXIMUM_PLACEMENTS:
                         return step_placements
             else:
-                self._reservations.hold_again(step, placement_pass.capacity)
+                self._reservations.reapply(step, placement_pass.capacity)
             blocked_at_change[step.key] = self._table.change_number
             self._advice_timing.note_waiting(step, service, remaining_tasks)
             renewal_reservations.note_waiting(step, remaining_tasks)
         self._blocked_at_change = blocked_at_change
         return step_placements
 
-    def _forget_others(self, waiting: set[StepKey]) -> None:
+    def _forget_steps_not_waiting(self, waiting: set[StepKey]) -> None:
         """Drop the state of steps that no longer wait."""
-        self._reservations.drop_others(waiting)
+        self._reservations.release_others(waiting)
         for times_by_step in (self._reevaluate_at, self._gang_reevaluate_at):
             for key in times_by_step.keys() - waiting:
                 del times_by_step[key]
@@ -194,7 +194,7 @@
     ) -> StepPlacement | None:
         if step.spec.gang:
             gang_placement = self._gang_placer.place(step, queue, schedulable, placement_pass)
-            if gang_placement is None and not self._reservations.holds(step.key):
+            if gang_placement is None and not self._reservations.has_reservation(step.key):
                 self._gang_reevaluate_at[step.key] = placement_pass.now + GANG_REEVALUATION_SECONDS
             else:
                 self._gang_reevaluate_at.pop(step.key, None)
@@ -264,7 +264,7 @@
         if step_placement is not None and len(step_placement.placements) == min(
             max_tasks, len(step.waiting)
         ):
-            self._reservations.drop(step.key)
+            self._reservations.release(step.key)
             return 0
         self._reevaluate_at[step.key] = placement_pass.now + REEVALUATION_SECONDS
         advice = self._advice_dispatcher.advice_for(step) if queue.advice is not None else None
--- a/src/onyxspoke/core/placement/preemption.py
+++ b/src/onyxspoke/core/placement/preemption.py
@@ -21,7 +21,7 @@
 #: A run that is expected to end within this many seconds is not preempted, because a stop takes
 #: about as long.
 ENDS_SOON_SECONDS = 0.6
-#: A preempted run is back at its former progress after about this many seconds: the stop, the wait
+#: A preempted run is back at its earlier progress after about this many seconds: the stop, the wait
 #: for free capacity elsewhere, and the restore from its checkpoint.
 RESTART_SECONDS = 3.0
 #: How much one accelerator adds to the cost of a preemption, in thousandths of a processor.
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -48,16 +48,16 @@
         self._table = table
         self._reservations: dict[StepKey, _Reservation] = {}
 
-    def holds(self, key: StepKey) -> bool:
+    def has_reservation(self, key: StepKey) -> bool:
         """Return whether a step has a reservation."""
         return key in self._reservations
 
-    def held_since(self, key: StepKey) -> float | None:
+    def reserved_since(self, key: StepKey) -> float | None:
         """Return since when a step has had a reservation, or ``None`` if it has none."""
         reservation = self._reservations.get(key)
         return None if reservation is None else reservation.since
 
-    def hold(
+    def reserve(
         self, step: StepProgress, slots: list[MemberSlots], capacity: ScratchCapacity, now: float
     ) -> None:
         """Reserve capacity for a step, in place of its previous reservation."""
@@ -65,35 +65,35 @@
         since = now if previous is None else previous.since
         self._reservations[step.key] = _Reservation(step, slots, since)
         if previous is not None:
-            self._release(previous, {item.worker.worker_id for item in slots})
-        self.hold_again(step, capacity)
+            self._note_released(previous, {item.worker.worker_id for item in slots})
+        self.reapply(step, capacity)
 
-    def hold_again(self, step: StepProgress, capacity: ScratchCapacity) -> None:
+    def reapply(self, step: StepProgress, capacity: ScratchCapacity) -> None:
         """Apply a step's existing reservation in a new pass."""
         reservation = self._reservations.get(step.key)
         if reservation is not None:
             for item in reservation.slots:
                 capacity.take(item.worker, step.needs, item.count)
 
-    def drop(self, key: StepKey) -> None:
+    def release(self, key: StepKey) -> None:
         """Release the reservation of a step."""
         reservation = self._reservations.pop(key, None)
         if reservation is not None:
-            self._release(reservation, set())
+            self._note_released(reservation, set())
 
-    def drop_others(self, waiting: set[StepKey]) -> None:
+    def release_others(self, waiting: set[StepKey]) -> None:
         """Release the reservations of all steps that no longer wait."""
         for key in [key for key in self._reservations if key not in waiting]:
-            self.drop(key)
+            self.release(key)
 
-    def is_within_share(self, total_processors_milli: int) -> bool:
+    def may_reserve_more(self, total_processors_milli: int) -> bool:
         """Return whether one more step may reserve capacity in a service of this size."""
         reserved_milli = sum(
             reservation.processors_milli for reservation in self._reservations.values()
         )
         return reserved_milli <= MAX_HELD_CAPACITY_SHARE * total_processors_milli
 
-    def _release(self, reservation: _Reservation, kept_worker_ids: set[str]) -> None:
+    def _note_released(self, reservation: _Reservation, kept_worker_ids: set[str]) -> None:
         """Mark released capacity as gained, so that blocked steps are evaluated again."""
         for item in reservation.slots:
             if item.worker.worker_id not in kept_worker_ids:
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -153,7 +153,7 @@
 
     @property
     def expected_seconds(self) -> float:
-        """The expected duration of the whole task here; for a gang that of its slowest member."""
+        """The expected duration of the whole task on its worker; of a gang, its slowest member."""
         if self.gang is None:
             factor = self.worker.speed.factor
         else:
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -113,7 +113,7 @@
         The number of consecutive hold requests without an answer.
     heard_at : float
         When the worker last answered any request.
-    poll_poll_was_refused : bool
+    poll_was_refused : bool
         Whether a poll since that answer failed well before its time limit, which shows that the
         worker's process was not there.
     poll_timed_out : bool
