--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -68,14 +68,14 @@
 
 def _crash_time_is_unknown(worker: Worker, now: float) -> bool:
     only_timed_out = worker.poll_timed_out and not worker.poll_was_refused
-    return only_timed_out and now - worker.heard_at > KNOWN_CRASH_TIME_SECONDS
+    return only_timed_out and now - worker.last_answer_at > KNOWN_CRASH_TIME_SECONDS
 
 
 def _had_just_started(run: Run, worker: Worker) -> bool:
     has_survived_start = run.listed_at - run.ordered_at >= SURVIVED_START_SECONDS
     if _had_stopped(run) or has_survived_start or not run.ordered_at:
         return False
-    return run.ordered_at >= worker.heard_at - RECENT_START_SECONDS
+    return run.ordered_at >= worker.last_answer_at - RECENT_START_SECONDS
 
 
 def _had_stopped(run: Run) -> bool:
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -84,10 +84,10 @@
     unresolved_starts : dict of RunKey to float
         Starts ordered from a previous incarnation that this one may still carry out, with the time
         when their stop was last sent.  No other run is started beside them.
-    seen_through : int
+    processed_through : int
         The number of the last end report that was processed; it is acknowledged to the worker once
         it is committed.
-    told_through : int
+    acknowledged_through : int
         The number of the last end report that is committed, so that the worker may forget all
         reports up to it.
     previous_lease_expires_at : float
@@ -111,7 +111,9 @@
         Runs that have ended, so that an older answer does not bring them back.
     missed_holds : int
         The number of consecutive hold requests without an answer.
-    heard_at : float
+    hold_answered_at : float
+        When the worker last answered a hold request.
+    last_answer_at : float
         When the worker last answered any request.
     poll_was_refused : bool
         Whether a poll since that answer failed well before its time limit, which shows that the
@@ -119,7 +121,7 @@
     poll_timed_out : bool
         Whether a poll since that answer reached its time limit, so that the request or its answer
         was lost.
-    first_heard_at : float
+    first_answer_at : float
         When the worker first answered; infinity before.
     listing_at_last_answer : WorkerListing
         How the directory listed the worker when it last answered; before its first answer, the
@@ -150,19 +152,19 @@
         self._held_processors = 0
         self._held_memory = 0
         self._held_accelerators = 0
-        self.seen_through = 0
-        self.told_through = 0
+        self.processed_through = 0
+        self.acknowledged_through = 0
         self.is_recorded = False
         self.was_used_by_previous_holder = False
         self.previous_lease_expires_at = previous_lease_expires_at
         self.lease_until_ms = 0
         self.retry_at = 0.0
         self.unanswered_order_at = 0.0
-        self.answered_at = 0.0
-        self.heard_at = 0.0
+        self.hold_answered_at = 0.0
+        self.last_answer_at = 0.0
         self.poll_was_refused = False
         self.poll_timed_out = False
-        self.first_heard_at = math.inf
+        self.first_answer_at = math.inf
         self.listing_at_last_answer = record.listing
         self.isolated_until = 0.0
         self.listed_clock_ms = 0
@@ -174,7 +176,7 @@
         self.next_hold_at = 0.0
         self.poll_requested = False
         self.missed_holds = 0
-        self.silent_since = 0.0
+        self.unresponsive_since = 0.0
 
     def move_to(self, contact: WorkerContact) -> None:
         """Change the contact state; the transition must be a permitted one."""
@@ -284,10 +286,10 @@
 
     def note_answer(self, now: float) -> None:
         """Record that the worker answered, which shows that its process is there."""
-        self.heard_at = now
+        self.last_answer_at = now
         self.poll_was_refused = False
         self.poll_timed_out = False
-        self.first_heard_at = min(self.first_heard_at, now)
+        self.first_answer_at = min(self.first_answer_at, now)
         self.listing_at_last_answer = self.listing
 
     def note_failed_poll(self, ended_early: bool) -> None:
