--- a/features/steps/slow_store_steps.py
+++ b/features/steps/slow_store_steps.py
@@ -135,7 +135,7 @@
         collect=collect,
         renew=lambda: ShardRecord("~claim", b"renewed"),
         is_dirty=lambda: bool(context.dirty),
-        latest_seconds=seconds,
+        latest_call_seconds=seconds,
     )
 
 
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -1,4 +1,4 @@
-"""Instructions that a shard's holder gives to the shell."""
+"""Actions that a shard's scheduler returns to its caller, which carries them out."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class SendAppend(msgspec.Struct, frozen=True):
-    """Append to the shard's partition; unknown without an answer in time."""
+    """Append records to the shard's partition; the outcome is unknown after the timeout."""
 
     append: ShardAppend
     patience_seconds: float
 
 
 class WorkerAddress(msgspec.Struct, frozen=True):
-    """Where one life of a worker is reached.
+    """Network address of one incarnation of a worker.
 
-    ``born_ms`` tells it from other lives of that name; 0 where that is not known.
+    ``born_ms`` distinguishes the incarnation from others of the same name; 0 if it is not known.
     """
 
     worker_id: WorkerId
@@ -36,10 +36,11 @@
 
 
 class SendHold(msgspec.Struct, frozen=True):
-    """Fence a worker, extend what runs there, and ask what runs and what ended.
+    """Fence a worker, extend its lease, and ask which runs are active and which have ended.
 
-    ``until_ms`` is 0 where nothing is to be extended; ``wait_ms`` is for how long the answer
-    may wait for an end.
+    ``last_seen`` is the number of the last end of a run that the holder has recorded.
+    ``until_ms`` is the new end of the lease, 0 if the lease is not extended.  ``wait_ms`` is the
+    longest time for which the worker may delay its answer until a run ends.
     """
 
     address: WorkerAddress
@@ -51,7 +52,7 @@
 
 
 class SendStart(msgspec.Struct, frozen=True):
-    """Start a run; void after ``until_ms`` on the worker's clock."""
+    """Start a run; the order expires at ``until_ms`` on the worker's clock."""
 
     address: WorkerAddress
     token: Token
@@ -63,7 +64,7 @@
 
 
 class SendStop(msgspec.Struct, frozen=True):
-    """Stop a run; a run that is not there yet will never be."""
+    """Stop a run; a run that has not arrived at the worker will never start there."""
 
     address: WorkerAddress
     token: Token
@@ -71,7 +72,7 @@
 
 
 class SendPace(msgspec.Struct, frozen=True):
-    """Let a run work, and disturb others, at a share of its speed."""
+    """Throttle a run to a percentage of its full speed, to limit its load on other runs."""
 
     address: WorkerAddress
     token: Token
@@ -80,7 +81,7 @@
 
 
 class AskAdvice(msgspec.Struct, frozen=True):
-    """Let one of the entries ask the advice service about a step."""
+    """Have an entry call the advice service about a step and a set of workers."""
 
     call_id: int
     advisor: str
@@ -89,33 +90,33 @@
 
 
 class AskQuota(msgspec.Struct, frozen=True):
-    """Ask the holder of a tenant's home shard for a part of its quota."""
+    """Request a part of a tenant's quota from the holder of the tenant's home shard."""
 
     home: ShardId
     request: QuotaRequest
 
 
 class ReplyToCall(msgspec.Struct, frozen=True):
-    """Answer a call that an entry passed on."""
+    """Reply to a call that an entry forwarded."""
 
     call_id: int
     reply: CallReply
 
 
 class LayoutKnown(msgspec.Struct, frozen=True):
-    """The store holds the cell's layout."""
+    """Report the cell's layout once it is stored."""
 
     layout: CellLayout
 
 
 class DropWorkerConnections(msgspec.Struct, frozen=True):
-    """A life of a worker is over; its connections are of no more use."""
+    """Close the connections to an incarnation of a worker that has ended."""
 
     address: WorkerAddress
 
 
 class JobEnded(msgspec.Struct, frozen=True):
-    """The store has the end of a job; for figures."""
+    """Count a job in the metrics once its end is committed to the store."""
 
     queue: str
     tenant: str
@@ -124,7 +125,7 @@
 
 
 class JobBegun(msgspec.Struct, frozen=True):
-    """A worker has the first run of a job; for figures."""
+    """Count a job in the metrics once a worker has received its first run."""
 
     queue: str
     tenant: str
@@ -132,7 +133,7 @@
 
 
 class ReturnOutcome(Enum):
-    """What came of a caller that was refused and came again."""
+    """Outcome of a refused caller's repeated submission."""
 
     ON_TIME = "on_time"
     EARLY_OR_LATE = "early_or_late"
@@ -140,14 +141,14 @@
 
 
 class CallerReturned(msgspec.Struct, frozen=True):
-    """A caller that was refused for load came again; for figures."""
+    """Count in the metrics a repeated submission of a job that was refused for overload."""
 
     queue: str
     outcome: ReturnOutcome
 
 
 class AdviceAsked(msgspec.Struct, frozen=True):
-    """A call for advice left the line after so many seconds; for figures."""
+    """Count in the metrics a call that left the advice queue after a number of seconds."""
 
     queue: str
     tenant: str
@@ -155,7 +156,7 @@
 
 
 class StepDownReason(Enum):
-    """Why a holder gives its shard up."""
+    """Reason for which a holder gives its shard up."""
 
     STORE_FENCED = "store_fenced"
     WORKER_FENCED = "worker_fenced"
@@ -166,13 +167,13 @@
 
 
 class StepDown(msgspec.Struct, frozen=True):
-    """The shard is no longer ours; nothing more is to be sent for it."""
+    """Stop all sending for the shard, because this node no longer holds it."""
 
     reason: StepDownReason
 
 
 class Decision(msgspec.Struct, frozen=True):
-    """One line for the log: what was decided or believed, and from what."""
+    """Log a decision or an inference, with the values on which it is based."""
 
     event: str
     fields: tuple[tuple[str, FieldValue], ...] = ()
--- a/src/onyxspoke/core/shard/call_desk.py
+++ b/src/onyxspoke/core/shard/call_desk.py
@@ -1,8 +1,9 @@
-"""Callers' calls at a shard's holder: taken in, answered once their record is committed.
+"""Handling of client calls at a shard's holder.
 
-While the store does not answer, nothing new can be promised.  A job of which no append that
-was sent says anything is refused; a cancel, or a question about a job that is not known here,
-is answered as unknown.  Both at once, so that the caller may try elsewhere or come back.
+A call that changes state is answered once its record is committed.  While the store does not
+answer, the holder accepts no new jobs.  It refuses each job that is not part of any sent append,
+and answers cancels, and queries for jobs that it does not know, as unknown.  It sends both answers
+at once, so that the caller can retry elsewhere or later.
 """
 
 from __future__ import annotations
@@ -32,17 +33,17 @@
 from onyxspoke.core.shard.run_keeper import RunKeeper
 from onyxspoke.core.tenants.keys import may_see
 
-#: An append that is open for so long, beyond trouble, leaves what waits for it unknown.
-SILENCE_SECONDS = 0.4
-#: Workers asked about in the call for advice that an objective allows each step.
-OBJECTIVE_WORKERS = 30
+#: Calls that wait for an append are answered as unknown after this time without its answer.
+STORE_SILENCE_SECONDS = 0.4
+#: Number of workers assumed when the duration of one advice call is derived from a queue's policy.
+ASSUMED_ADVICE_WORKERS = 30
 _MILLISECONDS = 1_000.0
-_IN_TROUBLE = "store_in_trouble"
-_ANOTHER_TENANTS = "identifier_of_another_tenant"
+_STORE_IN_TROUBLE = "store_in_trouble"
+_OTHER_TENANT = "identifier_of_another_tenant"
 
 
 class CallDesk:
-    """Answers the calls that reach a holder.
+    """Answers the client calls that reach a shard's holder.
 
     Parameters
     ----------
@@ -51,9 +52,9 @@
     runs : RunKeeper
         Stops the runs of a cancelled job.
     quotas : QuotaDesk
-        Lends quotas to other shards.
+        Grants parts of quotas to other shards.
     admission : AdmissionDesk
-        Decides whether jobs are taken.
+        Decides whether a job is accepted.
     """
 
     def __init__(
@@ -67,40 +68,40 @@
         self._runs = runs
         self._quotas = quotas
         self._admission = admission
-        #: Callers whose jobs no append that was sent has.
-        self._unsent: dict[int, _PendingReply] = {}
-        #: Callers whose answer waits for an append and may as well be "unknown".
-        self._unproven: dict[int, _PendingReply] = {}
+        #: Pending replies to submissions whose job is not part of any sent append.
+        self._unsent_submissions: dict[int, _PendingReply] = {}
+        #: Pending replies that wait for an append, and are "unknown" if the store stays silent.
+        self._awaiting_store: dict[int, _PendingReply] = {}
 
     def handle_call(self, call_id: int, call: Call, now: float) -> None:
-        """An entry passes on a client's call."""
+        """Handle a client call that an entry forwards."""
         if isinstance(call, SubmitCall):
             self._submit(call_id, call.job, now)
         elif isinstance(call, CancelCall):
             self._cancel(call_id, call, now)
         elif isinstance(call, StateCall):
-            self._tell_state(call_id, call, now)
+            self._reply_state(call_id, call, now)
         elif isinstance(call, QuotaCall):
             self._quotas.handle_call(call_id, call, now)
         else:
-            self._tell_waiting(call_id, call)
+            self._reply_waiting_count(call_id, call)
 
-    def keep(self, now: float) -> None:
-        """Answer at once those whom the store keeps waiting."""
-        if self._unsent and self._context.commit.is_in_trouble(now):
+    def answer_overdue_calls(self, now: float) -> None:
+        """Answer the calls that have waited too long for the store."""
+        if self._unsent_submissions and self._context.commit.is_in_trouble(now):
             self._refuse_unsent(now)
-        if self._unproven and self._is_silent(now):
-            for pending in self._unproven.values():
-                pending.answer(_unknown(self._retry_seconds))
-            self._unproven.clear()
+        if self._awaiting_store and self._is_store_silent(now):
+            for pending in self._awaiting_store.values():
+                pending.answer(_unknown_reply(self._retry_seconds))
+            self._awaiting_store.clear()
 
-    def note_append_sent(self) -> None:
-        """Keep the jobs that an append which was sent has: they can no longer be refused."""
+    def handle_append_sent(self) -> None:
+        """Stop tracking submissions whose job was part of the append; they cannot be refused."""
         jobs = self._context.book.jobs
-        for call_id, pending in list(self._unsent.items()):
+        for call_id, pending in list(self._unsent_submissions.items()):
             job = jobs.get(pending.job_id)
             if job is None or job.spec_is_stored:
-                del self._unsent[call_id]
+                del self._unsent_submissions[call_id]
 
     # Calls
 
@@ -108,27 +109,29 @@
         context = self._context
         book = context.book
         job_id = spec.job_id
-        known = book.jobs.get(job_id)
-        if known is not None and not may_see(known.spec.tenant, spec.tenant):
-            self._refuse(_PendingReply(context, call_id, job_id), _ANOTHER_TENANTS)
+        known_job = book.jobs.get(job_id)
+        if known_job is not None and not may_see(known_job.spec.tenant, spec.tenant):
+            self._refuse(_PendingReply(context, call_id, job_id), _OTHER_TENANT)
             return
-        if known is not None and known.committed_state is not None:
-            # The store has it, whoever holds the shard by now.
+        if known_job is not None and known_job.committed_state is not None:
+            # The store has the job, even if another node holds the shard by now.
             context.emit(ReplyToCall(call_id, CallReply(code=ReplyCode.OK)))
             return
-        if known is None and context.commit.is_in_trouble(now):
+        if known_job is None and context.commit.is_in_trouble(now):
             if self._admission.is_on:
-                spec = self._mark_share(spec, self._admission.find_refused(spec), now)
-            retries = self._admission.refuse_for_store([spec], now)
-            self._refuse(_PendingReply(context, call_id, job_id), _IN_TROUBLE, retries.get(job_id))
+                spec = self._with_share_mark(spec, self._admission.find_refused(spec), now)
+            retry_delays = self._admission.refuse_for_store([spec], now)
+            self._refuse(
+                _PendingReply(context, call_id, job_id), _STORE_IN_TROUBLE, retry_delays.get(job_id)
+            )
             return
-        is_new = known is None and not book.was_cancelled_before(spec)
-        refused = self._admission.find_refused(spec) if is_new else None
-        first_at = self._admission.first_at(refused, now)
+        is_new = known_job is None and not book.was_cancelled_before(spec)
+        earlier_refusal = self._admission.find_refused(spec) if is_new else None
+        first_at = self._admission.first_at(earlier_refusal, now)
         spec = msgspec.structs.replace(spec, accepted_at_ms=context.wall_ms(first_at))
         if is_new:
-            spec = self._mark_share(spec, refused, now)
-            refusal = self._admission.decide(spec, refused, now)
+            spec = self._with_share_mark(spec, earlier_refusal, now)
+            refusal = self._admission.decide(spec, earlier_refusal, now)
             if refusal is not None:
                 pending = _PendingReply(context, call_id, job_id)
                 self._refuse(pending, refusal.reason.value, refusal.retry_after_seconds)
@@ -136,28 +139,30 @@
         outcome = book.submit(spec, now, first_at)
         context.wants_placement = True
         if outcome is Submission.NEW:
-            self._log_taken(spec)
+            self._log_job_taken(spec)
         pending = _PendingReply(context, call_id, job_id, "job_accepted")
         if job_id in book.dirty:
-            self._unsent[call_id] = pending
+            self._unsent_submissions[call_id] = pending
         context.commit.after_commit(pending.confirm(CallReply(code=ReplyCode.OK)))
 
-    def _mark_share(self, spec: JobSpec, refused: Refused | None, now: float) -> JobSpec:
-        """Return a new job with the mark whether its tenant is owed it.
+    def _with_share_mark(
+        self, spec: JobSpec, earlier_refusal: Refused | None, now: float
+    ) -> JobSpec:
+        """Return a new job with the mark whether it is within its tenant's fair share.
 
-        The mark of its first hand-in stays: were a returning job to ask for it again, what a tenant
-        sends beyond its share would take the marks of its later jobs.  After its last use it is
-        new.
+        A job that was refused before keeps the mark of its first submission until its last useful
+        time.  Otherwise the retries of jobs over the share would use up the share of the tenant's
+        later jobs.
         """
         context = self._context
         policy = context.policy.tenants.get(spec.tenant)
-        if refused is not None and now <= refused.last_use_at:
-            is_owed = refused.is_owed
+        if earlier_refusal is not None and now <= earlier_refusal.last_use_at:
+            is_owed = earlier_refusal.is_owed
         else:
             is_owed = context.shares.take(policy, context.shard_count, now)
         return msgspec.structs.replace(spec, is_beyond_share=not is_owed)
 
-    def _log_taken(self, spec: JobSpec) -> None:
+    def _log_job_taken(self, spec: JobSpec) -> None:
         self._context.log(
             "job_taken",
             job=spec.job_id,
@@ -184,7 +189,7 @@
         code = ReplyCode.OK if job is not None else ReplyCode.NO_SUCH_JOB
         self._reply_later(call_id, job_id, CallReply(code=code), context.commit.after_commit, now)
 
-    def _tell_state(self, call_id: int, call: StateCall, now: float) -> None:
+    def _reply_state(self, call_id: int, call: StateCall, now: float) -> None:
         context = self._context
         job_id = call.job_id
         job = context.book.find_visible(job_id, call.tenant)
@@ -192,53 +197,53 @@
             state = job.committed_state.name.lower()
             context.emit(ReplyToCall(call_id, CallReply(code=ReplyCode.OK, state=state)))
             return
-        # Another holder may have accepted it, unless the shard is still ours.
+        # Another holder may have accepted the job, unless this node still holds the shard.
         reply = CallReply(code=ReplyCode.NO_SUCH_JOB)
         self._reply_later(call_id, job_id, reply, context.commit.after_proof, now)
 
-    def _tell_waiting(self, call_id: int, call: WaitingCall) -> None:
+    def _reply_waiting_count(self, call_id: int, call: WaitingCall) -> None:
         waiting = self._context.book.waiting_count(call.queue)
         self._context.emit(ReplyToCall(call_id, CallReply(code=ReplyCode.OK, waiting=waiting)))
 
-    # Answers
+    # Replies
 
     def _reply_later(
         self,
         call_id: int,
         job_id: JobId,
         reply: CallReply,
-        wait: Callable[[Callable[[float], None]], None],
+        register_effect: Callable[[Callable[[float], None]], None],
         now: float,
     ) -> None:
-        """Answer once the store has acknowledged an append, or that it is not known."""
+        """Reply once the store has acknowledged an append, or "unknown" if the store is silent."""
         pending = _PendingReply(self._context, call_id, job_id)
-        if self._is_silent(now):
-            pending.answer(_unknown(self._retry_seconds))
+        if self._is_store_silent(now):
+            pending.answer(_unknown_reply(self._retry_seconds))
             return
-        self._unproven[call_id] = pending
+        self._awaiting_store[call_id] = pending
 
         def confirm(moment: float) -> None:
-            self._unproven.pop(call_id, None)
+            self._awaiting_store.pop(call_id, None)
             pending.confirm(reply)(moment)
 
-        wait(confirm)
+        register_effect(confirm)
 
     def _refuse_unsent(self, now: float) -> None:
-        """Refuse the jobs of which no append that was sent says anything."""
+        """Refuse the jobs that are not part of any sent append."""
         book = self._context.book
-        jobs = [book.jobs.get(pending.job_id) for pending in self._unsent.values()]
+        jobs = [book.jobs.get(pending.job_id) for pending in self._unsent_submissions.values()]
         unsent = {job.job_id: job.spec for job in jobs if job is not None and _is_unsent(job)}
-        retries = self._admission.refuse_for_store(list(unsent.values()), now)
+        retry_delays = self._admission.refuse_for_store(list(unsent.values()), now)
         withdrawn = set()
-        for pending in self._unsent.values():
+        for pending in self._unsent_submissions.values():
             job = book.jobs.get(pending.job_id)
             if job is not None and _is_unsent(job):
                 self._runs.stop_job_runs(job.steps(), now, "job_refused")
                 book.withdraw(pending.job_id)
                 withdrawn.add(pending.job_id)
             if pending.job_id in withdrawn:
-                self._refuse(pending, _IN_TROUBLE, retries.get(pending.job_id))
-        self._unsent.clear()
+                self._refuse(pending, _STORE_IN_TROUBLE, retry_delays.get(pending.job_id))
+        self._unsent_submissions.clear()
 
     def _refuse(
         self, pending: _PendingReply, reason: str, retry_seconds: float | None = None
@@ -255,24 +260,24 @@
     def _retry_seconds(self) -> float:
         return self._context.options.refusal_retry_seconds
 
-    def _is_silent(self, now: float) -> bool:
-        return self._context.commit.is_in_trouble(now, SILENCE_SECONDS)
+    def _is_store_silent(self, now: float) -> bool:
+        return self._context.commit.is_in_trouble(now, STORE_SILENCE_SECONDS)
 
 
 def _advice_ms(queue: QueuePolicy) -> int:
-    """Return the time of the call for advice that a job's objective allows each step."""
+    """Return the duration, in milliseconds, that a queue's policy expects of an advice call."""
     if queue.advice is None:
         return 0
-    return int(queue.advice.call_seconds(OBJECTIVE_WORKERS) * _MILLISECONDS)
+    return int(queue.advice.call_seconds(ASSUMED_ADVICE_WORKERS) * _MILLISECONDS)
 
 
 class _PendingReply:
-    """A caller who is answered once.
+    """Reply to one call; it is sent at most once.
 
     Parameters
     ----------
     event : str
-        Logged with the job when the answer is confirmed; nothing is where it is empty.
+        Event that is logged with the job when the reply is confirmed; empty for no event.
     """
 
     def __init__(self, context: ShardContext, call_id: int, job_id: JobId, event: str = "") -> None:
@@ -283,13 +288,13 @@
         self.job_id = job_id
 
     def answer(self, reply: CallReply) -> None:
-        """Answer now, unless that was done."""
+        """Send a reply unless one has been sent."""
         if not self._is_answered:
             self._is_answered = True
             self._context.emit(ReplyToCall(self._call_id, reply))
 
     def confirm(self, reply: CallReply) -> Callable[[float], None]:
-        """Return the effect that answers once an append is acknowledged."""
+        """Return an effect that sends a reply; it runs once an append is acknowledged."""
 
         def effect(now: float) -> None:
             if not self._is_answered and self._event:
@@ -300,11 +305,11 @@
 
 
 def _is_unsent(job: JobProgress) -> bool:
-    """Return whether no append that was sent has a job."""
+    """Return whether a job is not part of any sent append."""
     return job.committed_state is None and not job.spec_is_stored
 
 
-def _unknown(retry_after_seconds: float) -> CallReply:
+def _unknown_reply(retry_after_seconds: float) -> CallReply:
     return CallReply(
-        code=ReplyCode.UNKNOWN, retry_after_seconds=retry_after_seconds, reason=_IN_TROUBLE
+        code=ReplyCode.UNKNOWN, retry_after_seconds=retry_after_seconds, reason=_STORE_IN_TROUBLE
     )
--- a/src/onyxspoke/core/shard/calls.py
+++ b/src/onyxspoke/core/shard/calls.py
@@ -1,4 +1,4 @@
-"""Calls of clients as an entry passes them on to a shard's holder, and the replies."""
+"""Client calls that an entry forwards to a shard's holder, and the replies to them."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
 
 class SubmitCall(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Hand a job in; the same identifier again stays one job."""
+    """Submit a job; a second submission with the same identifier creates no second job."""
 
     job: JobSpec
 
 
 class CancelCall(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Cancel a job; only one of the caller's tenant is known to it."""
+    """Cancel a job; jobs of other tenants are reported as unknown."""
 
     job_id: JobId
     tenant: TenantName = ""
 
 
 class StateCall(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Ask for a job's state; only one of the caller's tenant is known to it."""
+    """Query a job's state; jobs of other tenants are reported as unknown."""
 
     job_id: JobId
     tenant: TenantName = ""
 
 
 class WaitingCall(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Ask how many accepted jobs of a queue have not begun."""
+    """Query how many accepted jobs of a queue have not started."""
 
     queue: str
 
 
 class QuotaCall(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Another shard's holder asks for a part of a tenant's quota."""
+    """Request a part of a tenant's quota on behalf of another shard's holder."""
 
     request: QuotaRequest
 
 
 Call = SubmitCall | CancelCall | StateCall | WaitingCall | QuotaCall
 
-#: Names of the calls in logs and figures.
+#: Names of the calls in logs and metrics.
 CALL_NAMES: dict[type[Call], str] = {
     SubmitCall: "submit",
     CancelCall: "cancel",
@@ -56,24 +56,24 @@
 
 
 def job_of(call: Call) -> JobId:
-    """Return the job that a call is about, or nothing."""
+    """Return the identifier of the job that a call refers to, or an empty string."""
     if isinstance(call, SubmitCall):
         return call.job.job_id
     return "" if isinstance(call, (WaitingCall, QuotaCall)) else call.job_id
 
 
 def queue_of(call: Call) -> str:
-    """Return the queue that a call names, or nothing."""
+    """Return the name of the queue that a call refers to, or an empty string."""
     if isinstance(call, SubmitCall):
         return call.job.queue.name
     return call.queue if isinstance(call, WaitingCall) else ""
 
 
 class ReplyCode(Enum):
-    """What a holder replies.
+    """Code of a holder's reply.
 
-    ``REFUSED``: not taken, and it never runs.  ``NOT_HOLDER``: ask another.  ``UNKNOWN``: it
-    may have been done; ask again.
+    ``REFUSED``: the job was not accepted and will never run.  ``NOT_HOLDER``: another node holds
+    the shard.  ``UNKNOWN``: the holder may have carried out the call; the caller should retry.
     """
 
     OK = "ok"
@@ -89,15 +89,15 @@
     Attributes
     ----------
     state : str
-        The job's state as a word, for :class:`StateCall`.
+        Name of the job's state, for :class:`StateCall`.
     waiting : int
-        For :class:`WaitingCall`.
+        Number of jobs that have not started, for :class:`WaitingCall`.
     granted : Needs or None
-        What may be running, for :class:`QuotaCall`.
+        Resources that the shard's runs may use, for :class:`QuotaCall`.
     retry_after_seconds : float
-        When to come back, for ``REFUSED`` and ``UNKNOWN``.
+        Time after which the caller should retry, for ``REFUSED`` and ``UNKNOWN``.
     reason : str
-        Why, for logs.
+        Reason for the reply, for logs.
     """
 
     code: ReplyCode
--- a/src/onyxspoke/core/shard/commit.py
+++ b/src/onyxspoke/core/shard/commit.py
@@ -1,7 +1,8 @@
-"""Commits of a shard's state: effects only after the append that says so.
+"""Commit queue of a shard: appends state records, and runs effects once they are durable.
 
-What a change promises to the outside (a job accepted, an end noted, a state shown) is an
-effect that waits here until the append that says so is acknowledged.
+An effect makes a change visible outside the holder: it reports a job as accepted, confirms the
+end of a run to a worker, or shows a new job state.  The queue runs an effect only after the store
+has acknowledged the append that records the change.
 """
 
 from __future__ import annotations
@@ -18,33 +19,35 @@
     ShardRecord,
 )
 
-#: Pause between two appends, so that what happens close together shares one.
-MINIMUM_INTERVAL_SECONDS = 0.012
-#: The claim is renewed when nothing else was appended for so long.
-RENEWAL_SECONDS = 0.25
-#: Pause before an append that was refused or not answered is sent again.
-RETRY_SECONDS = (0.02, 0.06, 0.12)
-#: For how long an answer is waited for, by attempt; longer after a slow append.
-PATIENCE_SECONDS = (0.2, 0.2, 0.5, 0.2, 0.2, 0.9)
-PATIENCE_FACTOR = 3.0
-#: An append that takes so many times as long as the latest one, and so long at least, is sent once
-#: more beside the first: its answer may be lost, and the store answers a repeat as the first time.
-REPEAT_FACTOR = 4.0
-REPEAT_SECONDS = 0.03
-#: So many repeats at most are sent beside one that is waited for, each a share later than the
-#: one before.
-MAXIMUM_REPEATS = 5
-REPEAT_GROWTH = 0.25
+#: Shortest pause between two appends, so that changes close together share one append.
+MINIMUM_COMMIT_INTERVAL_SECONDS = 0.012
+#: The holder renews its claim if it has sent no append for this long.
+CLAIM_RENEWAL_SECONDS = 0.25
+#: Pauses before a refused or unanswered append is sent again, by number of attempts.
+APPEND_RETRY_SECONDS = (0.02, 0.06, 0.12)
+#: Timeouts for an append's answer, by attempt, and the multiple of the latest call's duration
+#: that is the shortest timeout.
+ANSWER_TIMEOUT_SECONDS = (0.2, 0.2, 0.5, 0.2, 0.2, 0.9)
+ANSWER_TIMEOUT_FACTOR = 3.0
+#: A duplicate of an unanswered append is sent after this multiple of the latest call's duration,
+#: and after this many seconds at least, because the first answer may be lost.  The store answers a
+#: duplicate as it answered the original.
+DUPLICATE_DELAY_FACTOR = 4.0
+MINIMUM_DUPLICATE_DELAY_SECONDS = 0.03
+#: Largest number of duplicates per attempt, and the fraction by which each duplicate's delay is
+#: longer than the delay of the one before.
+MAXIMUM_DUPLICATES = 5
+DUPLICATE_DELAY_GROWTH = 0.25
 MAXIMUM_BATCH_BYTES = 1_000_000
-#: An append that is open for longer than this, and than some times the latest one took,
-#: means that the store is in trouble.
-TROUBLE_SECONDS = 0.15
-TROUBLE_FACTOR = 3.0
-#: A store that took longer for its latest answer, in seconds, gets appends one after the other
-#: without waiting for each answer ...
+#: The store counts as overdue if an append stays unanswered for longer than this time and longer
+#: than this multiple of the latest call's duration.
+OVERDUE_SECONDS = 0.15
+OVERDUE_FACTOR = 3.0
+#: The queue pipelines appends, instead of waiting for each answer, if the latest call to the store
+#: took longer than this.
 SLOW_STORE_SECONDS = 0.05
-#: ... so many at most; the store remembers the answers to the last five.
-MAXIMUM_IN_FLIGHT = 4
+#: Largest number of pipelined appends; the store remembers its answers to the last five appends.
+MAXIMUM_APPENDS_IN_FLIGHT = 4
 
 Effect = Callable[[float], None]
 
@@ -53,29 +56,29 @@
 class _Batch:
     append: ShardAppend
     effects: list[Effect]
-    opened_at: float
+    first_sent_at: float
     sent_at: float
-    #: When every append before it was acknowledged; infinity until then.
-    first_at: float
+    #: When the store had acknowledged all earlier appends; infinity until then.
+    predecessors_acknowledged_at: float
     attempts: int = 1
-    #: Sendings that were neither answered nor given up yet.
-    open_calls: int = 1
-    repeats: int = 0
+    #: Calls for this append that have neither returned nor timed out.
+    calls_in_flight: int = 1
+    duplicates: int = 0
     retry_at: float | None = None
 
 
 @dataclass(slots=True)
 class CommitQueue:
-    """Takes records and effects, and sends them in order.
+    """Batches records into ordered appends, and runs each effect after its append is acknowledged.
 
     Attributes
     ----------
     proof_at : float
-        When the latest append that succeeded was sent: the shard was ours then.
+        When the latest successful append was first sent; this node held the shard at that time.
     interval_seconds : float
-        Pause between two appends at least.
-    latest_seconds : float
-        How long the store took for its latest answer to this node.
+        Shortest pause between two appends.
+    latest_call_seconds : float
+        Duration of the latest call that the store answered.
     """
 
     shard: ShardId
@@ -85,158 +88,176 @@
     collect: Callable[[int], list[ShardRecord]]
     renew: Callable[[], ShardRecord]
     is_dirty: Callable[[], bool]
-    interval_seconds: float = MINIMUM_INTERVAL_SECONDS
-    latest_seconds: float = 0.0
+    interval_seconds: float = MINIMUM_COMMIT_INTERVAL_SECONDS
+    latest_call_seconds: float = 0.0
     _effects: list[Effect] = field(default_factory=list)
-    _proofs: list[Effect] = field(default_factory=list)
-    #: Appends without an answer, in the order of their sequence numbers.
-    _open: list[_Batch] = field(default_factory=list)
+    _proof_effects: list[Effect] = field(default_factory=list)
+    #: Appends that the store has not acknowledged, in the order of their sequence numbers.
+    _unacknowledged: list[_Batch] = field(default_factory=list)
     _is_collecting: bool = False
     _last_sent_at: float = 0.0
-    _last_opened_at: float = 0.0
-    #: The append that was handed out last.
-    _handed_out: _Batch | None = None
+    _last_new_append_at: float = 0.0
+    #: Batch of the append that :meth:`next_append` returned last.
+    _last_returned: _Batch | None = None
 
-    def is_in_trouble(self, now: float, bound_seconds: float = TROUBLE_SECONDS) -> bool:
-        """Return whether the store keeps an append open for longer than it should."""
-        if not self._open:
+    def is_in_trouble(self, now: float, minimum_overdue_seconds: float = OVERDUE_SECONDS) -> bool:
+        """Return whether the oldest unacknowledged append is overdue."""
+        if not self._unacknowledged:
             return False
-        bound = max(bound_seconds, TROUBLE_FACTOR * self.latest_seconds)
-        return now - self._open[0].opened_at > bound
+        overdue_seconds = max(minimum_overdue_seconds, OVERDUE_FACTOR * self.latest_call_seconds)
+        return now - self._unacknowledged[0].first_sent_at > overdue_seconds
 
     def after_commit(self, effect: Effect) -> None:
-        """Have an effect once everything marked so far is acknowledged.
+        """Run an effect once the store has acknowledged all changes made so far.
 
-        While records are collected, what is marked is on its way out with the next append, though
-        nothing is dirty any more.
+        An effect that is registered while records are collected belongs to the append under
+        construction, even though no change is marked as dirty any more.
         """
-        is_sent = self._open and not self._is_collecting and not self._effects
+        is_sent = self._unacknowledged and not self._is_collecting and not self._effects
         if is_sent and not self.is_dirty():
-            self._open[-1].effects.append(effect)
+            self._unacknowledged[-1].effects.append(effect)
         else:
             self._effects.append(effect)
 
     def after_proof(self, effect: Effect) -> None:
-        """Have an effect once an append sent from now on shows that the shard is still ours."""
-        self._proofs.append(effect)
+        """Run an effect once an append sent from now on proves that this node holds the shard."""
+        self._proof_effects.append(effect)
 
     def next_append(self, now: float) -> ShardAppend | None:
-        """Return what is to be sent now, if anything."""
-        for batch in self._open:
+        """Return the append that is to be sent now, or ``None``."""
+        for batch in self._unacknowledged:
             if batch.retry_at is not None and now >= batch.retry_at:
                 return self._retry(batch, now)
-        if self._open and self._is_repeat_due(self._open[0], now):
-            return self._repeat(self._open[0], now)
-        if now < self._next_opening_at():
+        if self._unacknowledged and self._is_duplicate_due(self._unacknowledged[0], now):
+            return self._send_duplicate(self._unacknowledged[0], now)
+        if now < self._next_new_append_at():
             return None
-        if self._effects and not self._open and not self.is_dirty():
-            self._have_effects(now)
-        is_due = not self._open and self._is_renewal_due(now)
-        if not (self.is_dirty() or is_due or self._proofs):
+        if self._effects and not self._unacknowledged and not self.is_dirty():
+            self._run_effects(now)
+        is_claim_renewal_due = not self._unacknowledged and self._is_claim_renewal_due(now)
+        if not (self.is_dirty() or is_claim_renewal_due or self._proof_effects):
             return None
-        return self._open_batch(is_due, now)
+        return self._send_batch(is_claim_renewal_due, now)
 
-    def patience_seconds(self) -> float:
-        """Return for how long an answer to the append that was handed out last is waited for.
+    def answer_timeout_seconds(self) -> float:
+        """Return the answer timeout, in seconds, of the append that was returned last.
 
-        A store that is silent is asked again soon, because it may be back; one that is slow
-        answers a repeat no sooner than the first time, so now and then it is given longer.
+        Most timeouts are short, because an unreachable store may be reachable again soon.  Some
+        are longer, because a slow store does not answer a second call sooner than the first.
         """
-        batch = self._handed_out
+        batch = self._last_returned
         if batch is None:
-            return PATIENCE_SECONDS[0]
-        usual = PATIENCE_SECONDS[(batch.attempts - 1) % len(PATIENCE_SECONDS)]
-        return max(usual, PATIENCE_FACTOR * self.latest_seconds)
+            return ANSWER_TIMEOUT_SECONDS[0]
+        base_timeout_seconds = ANSWER_TIMEOUT_SECONDS[
+            (batch.attempts - 1) % len(ANSWER_TIMEOUT_SECONDS)
+        ]
+        return max(base_timeout_seconds, ANSWER_TIMEOUT_FACTOR * self.latest_call_seconds)
 
     def next_moment(self) -> float | None:
-        """Return when :meth:`next_append` may have something to send, if nothing comes in."""
-        moments = [batch.retry_at for batch in self._open if batch.retry_at is not None]
-        if self._open:
-            moments.append(self._repeat_at(self._open[0]))
-        if self._proofs or self.is_dirty() or (self._effects and not self._open):
-            moments.append(self._next_opening_at())
-        soonest = min(moments, default=math.inf)
-        return None if math.isinf(soonest) else soonest
+        """Return when :meth:`next_append` is due without further events, or ``None``."""
+        wakeup_times = [
+            batch.retry_at for batch in self._unacknowledged if batch.retry_at is not None
+        ]
+        if self._unacknowledged:
+            wakeup_times.append(self._next_duplicate_at(self._unacknowledged[0]))
+        if self._proof_effects or self.is_dirty() or (self._effects and not self._unacknowledged):
+            wakeup_times.append(self._next_new_append_at())
+        earliest = min(wakeup_times, default=math.inf)
+        return None if math.isinf(earliest) else earliest
 
     def handle_result(
         self, sequence: int, sent_at: float, result: AppendResult, now: float
     ) -> bool:
-        """Take an answer to an append; return whether the shard is still ours.
+        """Handle the result of one call for an append; return whether this node holds the shard.
 
-        Answers to repeats may come when the append has long been acknowledged.
+        Results of duplicates may arrive after the append has been acknowledged; they are ignored.
 
         Parameters
         ----------
         sequence : int
-            Of the append that was answered.
+            Sequence number of the append.
         sent_at : float
-            When the sending that was answered was sent.
+            When the call was sent.
         """
-        batch = next((item for item in self._open if item.append.sequence == sequence), None)
+        batch = next(
+            (item for item in self._unacknowledged if item.append.sequence == sequence), None
+        )
         if batch is None:
             return True
-        batch.open_calls -= 1
+        batch.calls_in_flight -= 1
         if result.outcome is AppendOutcome.DONE:
             self._acknowledge(batch, result.call_seconds or now - sent_at, now)
             return True
-        has_overtaken = sent_at < batch.first_at
-        is_early = result.outcome is AppendOutcome.OUT_OF_SEQUENCE and has_overtaken
-        if is_early or result.outcome in (AppendOutcome.NOT_DONE, AppendOutcome.UNKNOWN):
-            if batch.open_calls > 0:
+        may_have_overtaken = sent_at < batch.predecessors_acknowledged_at
+        was_overtaking = result.outcome is AppendOutcome.OUT_OF_SEQUENCE and may_have_overtaken
+        if was_overtaking or result.outcome in (AppendOutcome.NOT_DONE, AppendOutcome.UNKNOWN):
+            if batch.calls_in_flight > 0:
                 return True
-            pause = RETRY_SECONDS[min(batch.attempts, len(RETRY_SECONDS)) - 1]
+            pause = APPEND_RETRY_SECONDS[min(batch.attempts, len(APPEND_RETRY_SECONDS)) - 1]
             batch.retry_at = now + pause
             return True
         return False
 
     # Appends
 
-    def _is_renewal_due(self, now: float) -> bool:
-        return now - max(self._last_sent_at, self.proof_at) >= RENEWAL_SECONDS
+    def _is_claim_renewal_due(self, now: float) -> bool:
+        return now - max(self._last_sent_at, self.proof_at) >= CLAIM_RENEWAL_SECONDS
 
-    def _next_opening_at(self) -> float:
-        """Return when one more append may be sent; infinity while answers are waited for."""
-        if not self._open:
+    def _next_new_append_at(self) -> float:
+        """Return when the next new append may be sent; infinity while it must wait for answers."""
+        if not self._unacknowledged:
             return self._last_sent_at + self.interval_seconds
-        if self.latest_seconds < SLOW_STORE_SECONDS or len(self._open) >= MAXIMUM_IN_FLIGHT:
+        if (
+            self.latest_call_seconds < SLOW_STORE_SECONDS
+            or len(self._unacknowledged) >= MAXIMUM_APPENDS_IN_FLIGHT
+        ):
             return math.inf
-        pause = max(self.interval_seconds, self.latest_seconds / MAXIMUM_IN_FLIGHT)
-        return self._last_opened_at + pause
+        pause = max(self.interval_seconds, self.latest_call_seconds / MAXIMUM_APPENDS_IN_FLIGHT)
+        return self._last_new_append_at + pause
 
-    def _open_batch(self, is_renewal_due: bool, now: float) -> ShardAppend:
+    def _send_batch(self, is_claim_renewal_due: bool, now: float) -> ShardAppend:
         self._is_collecting = True
         records = self.collect(MAXIMUM_BATCH_BYTES)
         self._is_collecting = False
-        if not records or is_renewal_due:
+        if not records or is_claim_renewal_due:
             records.append(self.renew())
-        effects, self._proofs = self._proofs, []
+        effects, self._proof_effects = self._proof_effects, []
         if not self.is_dirty():
-            # Otherwise what did not fit goes with the next append, and so do the effects.
+            # Otherwise some records did not fit; the effects wait for the append that has them.
             effects, self._effects = self._effects + effects, []
         append = ShardAppend(
             shard=self.shard, epoch=self.epoch, sequence=self.next_sequence, records=records
         )
         self.next_sequence += 1
-        batch = _Batch(append, effects, now, now, first_at=math.inf if self._open else now)
-        self._open.append(batch)
-        self._last_sent_at = self._last_opened_at = now
-        self._handed_out = batch
+        batch = _Batch(
+            append,
+            effects,
+            now,
+            now,
+            predecessors_acknowledged_at=math.inf if self._unacknowledged else now,
+        )
+        self._unacknowledged.append(batch)
+        self._last_sent_at = self._last_new_append_at = now
+        self._last_returned = batch
         return append
 
     def _acknowledge(self, batch: _Batch, call_seconds: float, now: float) -> None:
-        """Have the effects of an append, and of those before it, which the store must have."""
-        self.latest_seconds = call_seconds
-        # A repeat may be answered as the first time, so only the first sending proves.
-        self.proof_at = max(self.proof_at, batch.opened_at)
-        count = self._open.index(batch) + 1
-        done, self._open = self._open[:count], self._open[count:]
-        if self._open:
-            self._open[0].first_at = now
+        """Run the effects of an acknowledged append and of all earlier ones.
+
+        The store accepts appends in order only, so it has the earlier ones, too.
+        """
+        self.latest_call_seconds = call_seconds
+        # The store may answer a duplicate from memory, so only the time of the first call counts.
+        self.proof_at = max(self.proof_at, batch.first_sent_at)
+        count = self._unacknowledged.index(batch) + 1
+        done, self._unacknowledged = self._unacknowledged[:count], self._unacknowledged[count:]
+        if self._unacknowledged:
+            self._unacknowledged[0].predecessors_acknowledged_at = now
         for item in done:
             for effect in item.effects:
                 effect(now)
 
-    def _have_effects(self, now: float) -> None:
+    def _run_effects(self, now: float) -> None:
         effects, self._effects = self._effects, []
         for effect in effects:
             effect(now)
@@ -244,26 +265,28 @@
     def _retry(self, batch: _Batch, now: float) -> ShardAppend:
         batch.retry_at = None
         batch.attempts += 1
-        batch.repeats = 0
+        batch.duplicates = 0
         return self._send_again(batch, now)
 
-    def _repeat_at(self, batch: _Batch) -> float:
-        """Return when an append without an answer is sent once more beside the first."""
-        if batch.open_calls == 0 or batch.repeats >= MAXIMUM_REPEATS:
+    def _next_duplicate_at(self, batch: _Batch) -> float:
+        """Return when the next duplicate of an unanswered append is due."""
+        if batch.calls_in_flight == 0 or batch.duplicates >= MAXIMUM_DUPLICATES:
             return math.inf
-        pause = max(REPEAT_SECONDS, REPEAT_FACTOR * self.latest_seconds)
-        return batch.sent_at + pause * (1.0 + REPEAT_GROWTH * batch.repeats)
+        pause = max(
+            MINIMUM_DUPLICATE_DELAY_SECONDS, DUPLICATE_DELAY_FACTOR * self.latest_call_seconds
+        )
+        return batch.sent_at + pause * (1.0 + DUPLICATE_DELAY_GROWTH * batch.duplicates)
 
-    def _is_repeat_due(self, batch: _Batch, now: float) -> bool:
-        return now >= self._repeat_at(batch)
+    def _is_duplicate_due(self, batch: _Batch, now: float) -> bool:
+        return now >= self._next_duplicate_at(batch)
 
-    def _repeat(self, batch: _Batch, now: float) -> ShardAppend:
-        batch.repeats += 1
+    def _send_duplicate(self, batch: _Batch, now: float) -> ShardAppend:
+        batch.duplicates += 1
         return self._send_again(batch, now)
 
     def _send_again(self, batch: _Batch, now: float) -> ShardAppend:
-        batch.open_calls += 1
+        batch.calls_in_flight += 1
         batch.sent_at = now
         self._last_sent_at = now
-        self._handed_out = batch
+        self._last_returned = batch
         return batch.append
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard's holder share."""
+"""Options and state that the components of a shard's holder share."""
 
 from __future__ import annotations
 
@@ -32,57 +32,57 @@
 
 
 class ShardOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds that the platform sets, and our own timings.
+    """Limits that the platform sets, and timings of the scheduler.
 
     Attributes
     ----------
     maximum_hold_ms : int
         Longest lease that a worker grants.
     stop_grace_ms : int
-        Longest time that a stop takes at a worker.
+        Longest time that a worker takes to stop a run.
     status_seconds : float
-        For how long a finished job is remembered.
-    early_ms : float
-        How far ahead of its time a repetition may begin.
+        Time for which a finished job's state is kept.
+    repetition_lead_ms : float
+        Longest time by which a repetition may start before its scheduled time.
     start_validity_ms : int
-        An order to start is void so long after it was sent.
+        Time after which a start order that a worker has not carried out expires.
     hold_wait_ms : int
-        For how long a worker's answer may wait for an end.
+        Longest time for which a worker may delay its answer until a run ends.
     hold_pause_seconds : float
-        Pause between two looks at a worker, so that ends close together share one.
-    proof_seconds : float
-        For how long after the latest proof of holding orders may be given.
+        Pause between two holds to a worker, so that one hold reports ends close together.
+    ownership_proof_seconds : float
+        Time after the latest proof of ownership during which the holder may send orders.
     refusal_retry_seconds : float
-        When a refused caller is told to come back.
+        Time after which a refused caller is asked to retry.
     load : LoadOptions
-        Parts that answer hard load.
+        Components that handle overload.
     """
 
     maximum_hold_ms: int = 6_000
     stop_grace_ms: int = 1_000
     status_seconds: float = 120.0
-    early_ms: float = 0.0
+    repetition_lead_ms: float = 0.0
     start_validity_ms: int = 1_200
     hold_wait_ms: int = 1_000
     hold_pause_seconds: float = 0.03
-    proof_seconds: float = 4.0
+    ownership_proof_seconds: float = 4.0
     refusal_retry_seconds: float = 1.0
     load: LoadOptions = LoadOptions()
 
 
 class ShardContext:
-    """State of a shard's holder, and the instructions it has not handed out yet.
+    """State of a shard's holder, and the actions that have not been returned yet.
 
     Parameters
     ----------
     options : ShardOptions
-        Bounds and timings.
+        Limits and timings.
     token : int
         Fencing token of the claim.
     shard : int
-        Which shard.
+        Identifier of the shard.
     commit : CommitQueue
-        Writes the state.
+        Queue that writes the state to the store.
     """
 
     def __init__(self, options: ShardOptions, token: int, shard: ShardId = 0) -> None:
@@ -96,53 +96,53 @@
         self.ledger = QuotaLedger()
         self.bank = QuotaBank(shard)
         self.shares = ShareMeter()
-        #: Shards of the cell, which share every tenant's quota and weight.
+        #: Number of shards of the cell; the shards share every tenant's quota and weight.
         self.shard_count = 1
         self.policy = PolicySet()
         self.commit: CommitQueue
         self.actions: list[ShardAction] = []
         self.wants_placement = False
         self.is_over = False
-        #: The cell's layout, until an append carries it.
-        self.new_layout: CellLayout | None = None
-        #: Until then nobody can claim the shard, because no node reaches the store.
+        #: Layout of a new cell that is not part of any append yet.
+        self.uncommitted_layout: CellLayout | None = None
+        #: Time until which no node can claim the shard, because no node reaches the store.
         self.unclaimable_until = 0.0
-        #: Time of day less the holder's seconds, in milliseconds, once it is known.
+        #: Offset from the holder's clock to the time of day, in milliseconds, or ``None``.
         self.wall_offset_ms: float | None = None
-        #: The latest moment at which the process found that it had stood still; the shard may have
-        #: become another's meanwhile.
+        #: When the process last found that it had been stalled; another node may have claimed the
+        #: shard before that time.
         self.paused_until = -math.inf
 
     def emit(self, action: ShardAction) -> None:
-        """Hand an instruction to the shell."""
+        """Add an action for the caller of the scheduler to carry out."""
         self.actions.append(action)
 
     def log(self, event: str, **fields: FieldValue) -> None:
-        """Write one line about a decision."""
+        """Log a decision as one line with an event and its fields."""
         self.actions.append(Decision(event, tuple(fields.items())))
 
     def wall_ms(self, now: float) -> int:
-        """Return the time of day, counted from 1970; 0 while it is not known."""
+        """Return the time of day in milliseconds since 1970, or 0 while it is not known."""
         if self.wall_offset_ms is None:
             return 0
         return int(now * _MILLISECONDS + self.wall_offset_ms)
 
     def step_down(self, reason: StepDownReason) -> None:
-        """Give the shard up; nothing is ordered any more."""
+        """Give the shard up; the holder sends no more orders."""
         if not self.is_over:
             self.is_over = True
             self.actions.append(StepDown(reason))
 
     def may_order(self, now: float) -> bool:
-        """Return whether the shard is surely still ours, so that workers may be ordered."""
-        # An append that was sent before a pause proves nothing of the time since.
+        """Return whether this node certainly holds the shard and may therefore send orders."""
+        # An append that was sent before a stall does not prove ownership after the stall.
         if self.is_over or self.commit.proof_at < self.paused_until:
             return False
-        proven_until = self.commit.proof_at + self.options.proof_seconds
+        proven_until = self.commit.proof_at + self.options.ownership_proof_seconds
         return now < max(proven_until, self.unclaimable_until)
 
 
 def address_of(worker: Worker) -> WorkerAddress:
-    """Return where a worker is reached."""
+    """Return the network address and incarnation of a worker."""
     record = worker.record
     return WorkerAddress(record.worker_id, record.host, record.port, worker.born_ms)
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -1,8 +1,9 @@
-"""Who holds a shard: one claim in the store, found, followed, watched and replaced.
+"""Leader election for one shard: nodes find, follow, monitor and replace the shard's holder.
 
-A claim is an append to the shard's partition under the condition that it ends where the
-claimant saw it end.  Its epoch, one more than that end, fences every earlier holder's writes
-and is the token that fences their orders, so it is unique and rises by construction.
+A node claims a shard with a conditional append to the shard's partition.  The store accepts the
+append only if the partition still ends where the claimant last read its end.  The epoch of the
+claim is that end plus one.  The epoch fences the writes of all earlier holders and is the fencing
+token of the new holder's orders; epochs are therefore unique and increasing.
 """
 
 from __future__ import annotations
@@ -34,139 +35,142 @@
 )
 from onyxspoke.core.shard.store_budget import StorePacing
 
-#: Pause before the claim is read again after the store gave no answer.
+#: Pause before a node reads the claim again after a read without an answer.
 READ_RETRY_SECONDS = 0.15
-#: Pause between looks at whether the partition's end still moves.
-WATCH_SECONDS = 0.15
-#: A holder whose partition rests for so long is taken for dead or cut off.
-REST_SECONDS = 0.6
-#: Pause between attempts to reach a holder that is alive but does not answer us.
-RECONNECT_SECONDS = 0.8
-#: Between the turns of two claimants, and the longest wait for a turn.
-TURN_SECONDS = 0.1
-LONGEST_TURN_SECONDS = 1.0
-#: Pause between looks at whether another node has claimed, while a turn is waited for.
-TURN_LOOK_SECONDS = 0.2
-#: A node that is not to take over claims only by a look that is no older.
-FRESH_LOOK_SECONDS = 0.1
-#: Claimants of a shard that nobody holds draw their turn up to here.
-FIRST_TURN_SECONDS = 0.06
-#: Smaller nodes leave a shard that nobody ever held to larger ones for so long.
-SMALL_NODE_SECONDS = 0.1
+#: Interval at which a node that watches a silent holder reads the end of the partition.
+WATCH_INTERVAL_SECONDS = 0.15
+#: A watched holder is presumed dead if the end of its partition has not moved for this long.
+IDLE_PARTITION_SECONDS = 0.6
+#: Pause before a node whose claims are deferred reads the claim again.
+DEFERRED_RETRY_SECONDS = 0.8
+#: Delay between the turns of two successive claimants, and the longest delay of any turn.
+TURN_INTERVAL_SECONDS = 0.1
+MAXIMUM_TURN_DELAY_SECONDS = 1.0
+#: Interval at which a node that waits for its turn checks whether another node has claimed.
+TURN_POLL_SECONDS = 0.2
+#: A node that is not a successor claims only if its latest read of the claim is at most this old.
+MAXIMUM_READ_AGE_SECONDS = 0.1
+#: The first claims of a shard that has never been held are spread at random over this time.
+FIRST_CLAIM_SPREAD_SECONDS = 0.06
+#: Small nodes delay their first claim by this time, so that larger nodes can claim before them.
+SMALL_NODE_DELAY_SECONDS = 0.1
 CLAIM_RETRY_SECONDS = 0.1
-#: A claim that is not answered is given up, and read back, after so many attempts.
+#: After this many unanswered attempts a node stops sending its claim and reads the claim back.
 MAXIMUM_CLAIM_ATTEMPTS = 8
-#: A follower that hears nothing for so long, and so many intervals, doubts its holder.
-SILENCE_SECONDS = 0.5
-INTERVALS_TO_SILENCE = 2.5
-#: A claimant may not know yet that its claim stands when others read it: until it has said so
-#: once, its silence about it is no letting go for so long after the claim was read, in seconds.
-#: A store that takes 0.4 s an answer needs about half of it.
-UNCONFIRMED_SECONDS = 1.0
-#: First sequences are drawn from up to here, so that two claimants never share one.
+#: A follower suspects its holder after this time without a heartbeat, or after this many
+#: heartbeat intervals if they are longer.
+HEARTBEAT_TIMEOUT_SECONDS = 0.5
+HEARTBEAT_TIMEOUT_INTERVALS = 2.5
+#: Other nodes may read a claim before the claimant receives the store's answer.  For this long
+#: after the read, a status without the claim therefore does not count as a release of the shard.
+#: A store that answers in 0.4 s uses about half of this time.
+CLAIM_CONFIRMATION_SECONDS = 1.0
+#: The first sequence number of a claim is random below this bound, so that two claimants do not
+#: use the same number.
 SEQUENCE_RANGE = 2**40
 
 
-#: States in which what the holder's node says, or does not, counts.
-_LOOKING_AT_HOLDER = frozenset(
+#: States in which the status of the holder's node, or the loss of its connection, is evaluated.
+_HOLDER_MONITORING_STATES = frozenset(
     {ElectionState.FOLLOWING, ElectionState.CONNECTING, ElectionState.WATCHING}
 )
 
 
 class Election:
-    """Finds, follows, watches and replaces the holder of one shard.
+    """State machine with which one node finds, follows, monitors and replaces a shard's holder.
 
     Parameters
     ----------
     shard : int
-        Which shard.
+        Identifier of the shard.
     identity : NodeIdentity
-        This process.
-    draw : callable
+        Identity of this process.
+    random_fraction : callable
         Returns a random number of at least 0 and below 1.
     started_at : float
-        When this process began; earlier lives on this host ended before.
+        When this process started; earlier incarnations on this host had ended by then.
     handicap : callable
-        Returns for how many seconds this node leaves a shard to nodes that hold fewer.
+        Returns by how many seconds this node delays its claim in favour of nodes that hold fewer
+        shards.
     """
 
     def __init__(
         self,
         shard: ShardId,
         identity: NodeIdentity,
-        draw: Callable[[], float],
+        random_fraction: Callable[[], float],
         started_at: float,
         handicap: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._shard = shard
         self._identity = identity
-        self._draw = draw
+        self._random_fraction = random_fraction
         self._started_at = started_at
         self._handicap = handicap
         self.state = ElectionState.READING
         self.claim: ClaimRecord | None = None
-        self._end = -1
-        #: Nodes that are to take over, by the word of the holder, in the order of their turns.
+        self._partition_end = -1
+        #: Successors that the holder has named, in the order of their turns.
         self.members: list[NodeIdentity] = []
         self._pacing = StorePacing()
-        self._turn_handicap = 0.0
+        self._turn_load_delay_seconds = 0.0
         self._due_at = 0.0
-        self._is_reading = False
-        self._looked_at = 0.0
-        self._heard_at = 0.0
-        self._silence_seconds = SILENCE_SECONDS
-        #: When the claim was read that its holder has not told us of yet.
-        self._unconfirmed_since = -math.inf
-        self._moved_at = 0.0
-        self._dead_since: float | None = None
-        self._suspects_death = False
-        self._pending: ShardAppend | None = None
+        self._is_read_pending = False
+        self._last_read_at = 0.0
+        self._last_heartbeat_at = 0.0
+        self._heartbeat_timeout_seconds = HEARTBEAT_TIMEOUT_SECONDS
+        #: When the current claim was read; minus infinity once its holder has confirmed it.
+        self._claim_unconfirmed_since = -math.inf
+        self._end_moved_at = 0.0
+        self._holder_dead_since: float | None = None
+        self._suspects_holder_dead = False
+        self._pending_append: ShardAppend | None = None
         self._pending_claim: ClaimRecord | None = None
-        self._claim_sent_at = 0.0
+        self._claim_first_sent_at = 0.0
         self._claim_last_sent_at = 0.0
         self._claim_attempts = 0
         self._former_token = 0
-        self._rest_until = -math.inf
+        self._claims_deferred_until = -math.inf
         self.actions: list[ElectionAction] = []
 
-    # Stimuli
+    # Events
 
     def start(self, now: float) -> None:
-        """Begin to look for the holder."""
-        self._read(now, "started")
+        """Start to look for the holder."""
+        self._start_reading(now, "started")
 
     def rest_until(self, moment: float) -> None:
-        """Claim nothing before a moment: others are to take over."""
-        self._rest_until = moment
+        """Do not claim the shard before a given time, so that other nodes take over."""
+        self._claims_deferred_until = moment
 
     def set_members(self, members: list[NodeIdentity]) -> None:
-        """Take the nodes that are to take over, in the order of their turns."""
+        """Set the successors that the holder has named, in the order of their turns."""
         self.members = members
 
     def set_pacing(self, pacing: StorePacing) -> None:
-        """Take how often the store may be called by nodes that are not to take over."""
+        """Set how often nodes that are not successors may call the store."""
         self._pacing = pacing
 
     def handle_claim_read(
-        self, is_known: bool, claim: ClaimRecord | None, end: int, now: float
+        self, is_answered: bool, claim: ClaimRecord | None, end: int, now: float
     ) -> None:
-        """The store told the claim and the end, or gave no answer."""
-        self._is_reading = False
+        """Handle the store's answer to a read of the claim and the end, or its absence."""
+        self._is_read_pending = False
         if self.state in (ElectionState.HOLDING, ElectionState.CLAIMING):
             return
-        if not is_known:
-            self._due_at = now + self._pause(READ_RETRY_SECONDS)
+        if not is_answered:
+            self._due_at = now + self._poll_interval_seconds(READ_RETRY_SECONDS)
             return
-        has_moved = end != self._end
-        self._end = end
+        has_moved = end != self._partition_end
+        self._partition_end = end
         if has_moved:
-            self._moved_at = now
-        if self._is_new(claim):
+            self._end_moved_at = now
+        if self._is_newer(claim):
             self._adopt_claim(claim, now)
         elif self.state is ElectionState.WATCHING:
-            self._watch_on(now)
+            self._continue_watching(now)
         elif self.state is ElectionState.WAITING_TURN and has_moved:
-            self._suspects_death = False
+            self._suspects_holder_dead = False
             self._connect(now, "holder_writes")
         elif self.state is ElectionState.READING:
             self._decide(now)
@@ -178,122 +182,125 @@
         now: float,
         interval_seconds: float = 0.0,
     ) -> None:
-        """A peer tells which claim it holds or follows, if any, and when it will tell again."""
+        """Handle a peer's status: the claim that it holds or follows, and its sending interval."""
         if self.state in (ElectionState.HOLDING, ElectionState.CLAIMING):
             return
-        if claim is not None and self._is_new(claim) and claim.host != self._identity.host:
-            self._adopt_told_claim(peer, claim, now)
+        if claim is not None and self._is_newer(claim) and claim.host != self._identity.host:
+            self._adopt_reported_claim(peer, claim, now)
             return
         known = self.claim
         if known is None or peer.host != known.host:
             return
         if claim is not None and claim.token == known.token and peer.life == known.life:
-            self._silence_seconds = max(SILENCE_SECONDS, INTERVALS_TO_SILENCE * interval_seconds)
+            self._heartbeat_timeout_seconds = max(
+                HEARTBEAT_TIMEOUT_SECONDS, HEARTBEAT_TIMEOUT_INTERVALS * interval_seconds
+            )
             self._follow(now, known)
-        elif self.state in _LOOKING_AT_HOLDER:
+        elif self.state in _HOLDER_MONITORING_STATES:
             if peer.life != known.life:
-                self._dead_since = now
-            elif now - self._unconfirmed_since < UNCONFIRMED_SECONDS:
+                self._holder_dead_since = now
+            elif now - self._claim_unconfirmed_since < CLAIM_CONFIRMATION_SECONDS:
                 return
-            self._suspects_death = True
-            self._read(now, "holder_let_go")
+            self._suspects_holder_dead = True
+            self._start_reading(now, "holder_let_go")
 
     def handle_peer_lost(self, host: str, reason: LossReason, now: float) -> None:
-        """The stream to a peer ended, or none came about."""
+        """Handle the loss of the connection to a peer, or a failure to connect."""
         claim = self.claim
         if claim is None or host != claim.host:
             return
-        if self.state not in _LOOKING_AT_HOLDER:
+        if self.state not in _HOLDER_MONITORING_STATES:
             return
         if reason is LossReason.REFUSED:
-            self._suspects_death = True
-            self._read(now, "holder_refuses")
+            self._suspects_holder_dead = True
+            self._start_reading(now, "holder_refuses")
         elif reason is LossReason.CLOSED and self.state is ElectionState.FOLLOWING:
             self._connect(now, "stream_closed")
         elif self.state is not ElectionState.WATCHING:
             self._watch(now, "holder_silent")
 
     def handle_append_result(self, result: AppendResult, now: float) -> None:
-        """The store answered the claim, or did not."""
+        """Handle the store's answer to the claim, or its absence."""
         if self.state is not ElectionState.CLAIMING:
             return
         if result.outcome is AppendOutcome.DONE:
-            self._win(now)
+            self._become_holder(now)
         elif result.outcome in (AppendOutcome.UNKNOWN, AppendOutcome.NOT_DONE):
             if self._claim_attempts >= MAXIMUM_CLAIM_ATTEMPTS:
-                self._read(now, "claim_unanswered")
+                self._start_reading(now, "claim_unanswered")
             else:
                 self._due_at = now + CLAIM_RETRY_SECONDS
         else:
-            self._suspects_death = False
-            self._read(now, f"claim_{result.outcome.value}")
+            self._suspects_holder_dead = False
+            self._start_reading(now, f"claim_{result.outcome.value}")
 
     def handle_step_down(self, now: float) -> None:
-        """Look for the holder again: it is no longer this process."""
-        self._pending = None
-        self._read(now, "stepped_down")
+        """Look for the new holder after this process has given the shard up."""
+        self._pending_append = None
+        self._start_reading(now, "stepped_down")
 
     def is_held_by(self, host: str) -> bool:
-        """Return whether the claim that is known is that of a host."""
+        """Return whether the latest known claim was made by a host."""
         return self.claim is not None and self.claim.host == host
 
     def is_quiet(self, now: float) -> bool:
-        """Return whether the passing of time changes nothing."""
+        """Return whether this node follows a holder whose heartbeats arrive in time."""
         return (
-            self.state is ElectionState.FOLLOWING and now - self._heard_at <= self._silence_seconds
+            self.state is ElectionState.FOLLOWING
+            and now - self._last_heartbeat_at <= self._heartbeat_timeout_seconds
         )
 
     def tick(self, now: float) -> None:
-        """Some time has passed."""
+        """Act on timeouts that have expired."""
         if self.state is ElectionState.FOLLOWING:
-            if now - self._heard_at > self._silence_seconds:
+            if now - self._last_heartbeat_at > self._heartbeat_timeout_seconds:
                 self._watch(now, "heartbeat_missing")
             return
         if now < self._due_at:
-            self._look_while_waiting(now)
+            self._poll_while_waiting(now)
             return
-        if self.state is ElectionState.READING and not self._is_reading:
+        if self.state is ElectionState.READING and not self._is_read_pending:
             self._send_read(now)
         elif self.state is ElectionState.WATCHING:
-            self._look_again(now)
+            self._poll_holder(now)
         elif self.state is ElectionState.CONNECTING:
             self._watch(now, "connecting_takes_long")
         elif self.state is ElectionState.WAITING_TURN:
-            self._claim_or_look(now)
-        elif self.state is ElectionState.CLAIMING and self._pending is not None:
+            self._claim_or_poll(now)
+        elif self.state is ElectionState.CLAIMING and self._pending_append is not None:
             self._send_claim(now)
 
-    def _claim_or_look(self, now: float) -> None:
-        """Claim, unless others may have claimed since the last look; a look costs less.
+    def _claim_or_poll(self, now: float) -> None:
+        """Claim the shard, or read the claim first if the latest read is too old.
 
-        A node that has taken over another shard meanwhile leaves this one to others.
+        A node that has taken over another shard while it waited delays its claim further.
         """
         handicap = self._handicap()
-        if handicap > self._turn_handicap:
-            self._due_at = now + handicap - self._turn_handicap
-            self._turn_handicap = handicap
-        elif not self._is_named and now - self._looked_at > FRESH_LOOK_SECONDS:
-            self._due_at = now + FRESH_LOOK_SECONDS / 2
-            if not self._is_reading:
+        if handicap > self._turn_load_delay_seconds:
+            self._due_at = now + handicap - self._turn_load_delay_seconds
+            self._turn_load_delay_seconds = handicap
+        elif not self._is_successor and now - self._last_read_at > MAXIMUM_READ_AGE_SECONDS:
+            self._due_at = now + MAXIMUM_READ_AGE_SECONDS / 2
+            if not self._is_read_pending:
                 self._send_read(now)
         else:
             self._claim(now)
 
-    def _look_while_waiting(self, now: float) -> None:
-        """See whether a node with an earlier turn has claimed."""
-        if self.state is not ElectionState.WAITING_TURN or self._is_reading:
+    def _poll_while_waiting(self, now: float) -> None:
+        """Read the claim if it is time to check whether a node with an earlier turn has claimed."""
+        if self.state is not ElectionState.WAITING_TURN or self._is_read_pending:
             return
-        if now - self._looked_at >= self._pause(TURN_LOOK_SECONDS):
+        if now - self._last_read_at >= self._poll_interval_seconds(TURN_POLL_SECONDS):
             self._send_read(now)
 
     def take_actions(self) -> list[ElectionAction]:
-        """Return the instructions not handed out yet."""
+        """Return the actions that have not been returned yet, and clear the list."""
         actions, self.actions = self.actions, []
         return actions
 
     # Decisions
 
-    def _is_new(self, claim: ClaimRecord | None) -> bool:
+    def _is_newer(self, claim: ClaimRecord | None) -> bool:
         if claim is None:
             return False
         return self.claim is None or claim.token > self.claim.token
@@ -301,175 +308,183 @@
     def _adopt_claim(self, claim: ClaimRecord | None, now: float) -> None:
         assert claim is not None
         self.claim = claim
-        self._unconfirmed_since = now
-        self._dead_since = None
-        self._suspects_death = False
+        self._claim_unconfirmed_since = now
+        self._holder_dead_since = None
+        self._suspects_holder_dead = False
         if claim.host == self._identity.host:
-            # An earlier life on this host, or a claim of ours that landed late.
+            # An earlier incarnation made this claim, or the store carried out our claim late.
             if claim.life != self._identity.life:
-                self._dead_since = self._started_at
-            self._wait_turn(now, 0.0, "own_earlier_claim")
+                self._holder_dead_since = self._started_at
+            self._wait_for_turn(now, 0.0, "own_earlier_claim")
         else:
             self._connect(now, "claim_read")
 
-    def _adopt_told_claim(self, peer: NodeIdentity, claim: ClaimRecord, now: float) -> None:
+    def _adopt_reported_claim(self, peer: NodeIdentity, claim: ClaimRecord, now: float) -> None:
         self.claim = claim
-        self._silence_seconds = SILENCE_SECONDS
-        self._dead_since = None
-        self._suspects_death = False
+        self._heartbeat_timeout_seconds = HEARTBEAT_TIMEOUT_SECONDS
+        self._holder_dead_since = None
+        self._suspects_holder_dead = False
         if claim.life != peer.life:
             self._connect(now, "claim_told")
             return
         if self.state is ElectionState.FOLLOWING:
-            # It was another node until now.
+            # This node followed another holder until now.
             self.actions.append(HolderChanged(claim))
         self._follow(now, claim)
 
     def _follow(self, now: float, claim: ClaimRecord) -> None:
-        self._heard_at = now
-        self._unconfirmed_since = -math.inf
+        self._last_heartbeat_at = now
+        self._claim_unconfirmed_since = -math.inf
         if self.state is not ElectionState.FOLLOWING:
-            self._move(ElectionState.FOLLOWING, now, "holder_answers")
+            self._change_state(ElectionState.FOLLOWING, now, "holder_answers")
             self.actions.append(HolderChanged(claim))
 
     def _decide(self, now: float) -> None:
-        """The claim is as it was: replace it if its holder is thought dead."""
+        """Choose the next state after a read that returned no newer claim."""
         claim = self.claim
         if claim is None:
-            self._wait_turn(now, self._first_turn_delay(), "nobody_claimed")
+            self._wait_for_turn(now, self._first_turn_delay_seconds(), "nobody_claimed")
         elif claim.host == self._identity.host:
-            self._wait_turn(now, 0.0, "own_earlier_claim")
-        elif self._suspects_death:
-            self._wait_turn(now, self._turn_delay(claim), "holder_gone")
+            self._wait_for_turn(now, 0.0, "own_earlier_claim")
+        elif self._suspects_holder_dead:
+            self._wait_for_turn(now, self._turn_delay_seconds(claim), "holder_gone")
         else:
             self._connect(now, "claim_unchanged")
 
-    def _watch_on(self, now: float) -> None:
-        if now - self._moved_at >= REST_SECONDS:
+    def _continue_watching(self, now: float) -> None:
+        if now - self._end_moved_at >= IDLE_PARTITION_SECONDS:
             claim = self.claim
             assert claim is not None
-            self._wait_turn(now, self._turn_delay(claim), "partition_rests")
+            self._wait_for_turn(now, self._turn_delay_seconds(claim), "partition_rests")
         else:
-            self._due_at = now + self._pause(WATCH_SECONDS)
+            self._due_at = now + self._poll_interval_seconds(WATCH_INTERVAL_SECONDS)
 
     @property
-    def _is_named(self) -> bool:
-        """Whether this node is to take over, by the word of the holder."""
+    def _is_successor(self) -> bool:
+        """Whether the holder has named this node as a successor."""
         return any(member.host == self._identity.host for member in self.members)
 
-    def _pause(self, seconds: float) -> float:
-        """Return the pause before the next look, longer at nodes that are not to take over."""
-        return seconds if self._is_named else max(seconds, self._pacing.look_seconds)
+    def _poll_interval_seconds(self, seconds: float) -> float:
+        """Return the seconds until the next read; nodes that are not successors wait longer."""
+        return seconds if self._is_successor else max(seconds, self._pacing.poll_interval_seconds)
 
-    def _turn_delay(self, claim: ClaimRecord) -> float:
-        """Return how long to leave the claim to nodes that come before us."""
+    def _turn_delay_seconds(self, claim: ClaimRecord) -> float:
+        """Return the delay before this node claims, so that nodes with earlier turns go first."""
         candidates = [member.host for member in self.members if member.host != claim.host]
         if self._identity.host in candidates:
-            return min(candidates.index(self._identity.host) * TURN_SECONDS, LONGEST_TURN_SECONDS)
-        delay = min((len(candidates) + self._draw()) * TURN_SECONDS, LONGEST_TURN_SECONDS)
-        return delay + self._draw() * self._pacing.look_seconds
+            return min(
+                candidates.index(self._identity.host) * TURN_INTERVAL_SECONDS,
+                MAXIMUM_TURN_DELAY_SECONDS,
+            )
+        delay = min(
+            (len(candidates) + self._random_fraction()) * TURN_INTERVAL_SECONDS,
+            MAXIMUM_TURN_DELAY_SECONDS,
+        )
+        return delay + self._random_fraction() * self._pacing.poll_interval_seconds
 
-    def _first_turn_delay(self) -> float:
-        """Return how long to leave a shard that nobody ever held to others."""
+    def _first_turn_delay_seconds(self) -> float:
+        """Return the delay before this node claims a shard that no node has ever held."""
         hosts = [member.host for member in self.members]
         if self._identity.host in hosts:
-            return self._handicap() + hosts.index(self._identity.host) * TURN_SECONDS
-        delay = LONGEST_TURN_SECONDS if hosts else self._handicap()
+            return self._handicap() + hosts.index(self._identity.host) * TURN_INTERVAL_SECONDS
+        delay = MAXIMUM_TURN_DELAY_SECONDS if hosts else self._handicap()
         if self._identity.weight < 1.0:
-            delay += SMALL_NODE_SECONDS
-        return delay + self._draw() * max(FIRST_TURN_SECONDS, self._pacing.look_seconds)
+            delay += SMALL_NODE_DELAY_SECONDS
+        return delay + self._random_fraction() * max(
+            FIRST_CLAIM_SPREAD_SECONDS, self._pacing.poll_interval_seconds
+        )
 
-    # Steps
+    # Transitions
 
-    def _move(self, state: ElectionState, now: float, reason: str) -> None:
+    def _change_state(self, state: ElectionState, now: float, reason: str) -> None:
         self.state = state
         token = self.claim.token if self.claim is not None else 0
         self.actions.append(ElectionNote(state, reason, token))
 
-    def _read(self, now: float, reason: str) -> None:
+    def _start_reading(self, now: float, reason: str) -> None:
         if self.state is not ElectionState.READING:
-            self._move(ElectionState.READING, now, reason)
+            self._change_state(ElectionState.READING, now, reason)
             self.actions.append(HolderChanged(None))
-        if not self._is_reading:
+        if not self._is_read_pending:
             self._send_read(now)
 
     def _send_read(self, now: float) -> None:
-        self._is_reading = True
-        self._looked_at = now
+        self._is_read_pending = True
+        self._last_read_at = now
         self.actions.append(ReadClaim())
 
     def _connect(self, now: float, reason: str) -> None:
         claim = self.claim
         assert claim is not None
-        self._move(ElectionState.CONNECTING, now, reason)
-        self._due_at = now + SILENCE_SECONDS
+        self._change_state(ElectionState.CONNECTING, now, reason)
+        self._due_at = now + HEARTBEAT_TIMEOUT_SECONDS
         self.actions.append(HolderChanged(None))
         self.actions.append(ConnectToHolder(claim.host, claim.port))
 
     def _watch(self, now: float, reason: str) -> None:
-        self._move(ElectionState.WATCHING, now, reason)
-        self._moved_at = now
+        self._change_state(ElectionState.WATCHING, now, reason)
+        self._end_moved_at = now
         self.actions.append(HolderChanged(None))
-        self._look_again(now)
+        self._poll_holder(now)
 
-    def _look_again(self, now: float) -> None:
+    def _poll_holder(self, now: float) -> None:
         claim = self.claim
         assert claim is not None
-        self._due_at = now + self._pause(WATCH_SECONDS)
-        if not self._is_reading:
+        self._due_at = now + self._poll_interval_seconds(WATCH_INTERVAL_SECONDS)
+        if not self._is_read_pending:
             self._send_read(now)
         self.actions.append(ConnectToHolder(claim.host, claim.port))
 
-    def _wait_turn(self, now: float, delay: float, reason: str) -> None:
-        if now < self._rest_until:
-            self._due_at = now + RECONNECT_SECONDS
-            self._move(ElectionState.READING, now, "resting")
+    def _wait_for_turn(self, now: float, delay: float, reason: str) -> None:
+        if now < self._claims_deferred_until:
+            self._due_at = now + DEFERRED_RETRY_SECONDS
+            self._change_state(ElectionState.READING, now, "resting")
             return
-        self._move(ElectionState.WAITING_TURN, now, reason)
-        self._turn_handicap = self._handicap()
+        self._change_state(ElectionState.WAITING_TURN, now, reason)
+        self._turn_load_delay_seconds = self._handicap()
         self._due_at = now + delay
         if delay <= 0:
             self._claim(now)
 
     def _claim(self, now: float) -> None:
         identity = self._identity
-        token = self._end + 1
-        # The claim that was read with this end, or was told of before: the end would have moved.
+        token = self._partition_end + 1
+        # The known claim is the latest: a newer one would have moved the end of the partition.
         self._former_token = self.claim.token if self.claim is not None else 0
         claim = ClaimRecord(life=identity.life, host=identity.host, port=identity.port, token=token)
         self._pending_claim = claim
-        self._pending = ShardAppend(
+        self._pending_append = ShardAppend(
             shard=self._shard,
             epoch=token,
-            sequence=1 + int(self._draw() * SEQUENCE_RANGE),
+            sequence=1 + int(self._random_fraction() * SEQUENCE_RANGE),
             records=[ShardRecord(CLAIM_KEY, encode_claim(claim))],
-            expected_end=self._end,
+            expected_end=self._partition_end,
         )
         self._claim_attempts = 0
-        self._move(ElectionState.CLAIMING, now, "claims")
-        self._claim_sent_at = now
+        self._change_state(ElectionState.CLAIMING, now, "claims")
+        self._claim_first_sent_at = now
         self._send_claim(now)
 
     def _send_claim(self, now: float) -> None:
-        assert self._pending is not None
+        assert self._pending_append is not None
         self._claim_attempts += 1
         self._claim_last_sent_at = now
         self._due_at = now + 60.0
-        self.actions.append(SendClaim(self._pending))
+        self.actions.append(SendClaim(self._pending_append))
 
-    def _win(self, now: float) -> None:
-        assert self._pending is not None
+    def _become_holder(self, now: float) -> None:
+        assert self._pending_append is not None
         assert self._pending_claim is not None
         self.claim = self._pending_claim
-        pending, self._pending = self._pending, None
-        self._move(ElectionState.HOLDING, now, "claim_stands")
+        pending, self._pending_append = self._pending_append, None
+        self._change_state(ElectionState.HOLDING, now, "claim_stands")
         self.actions.append(
             BecomeHolder(
                 claim=self._pending_claim,
                 next_sequence=pending.sequence + 1,
-                claimed_at=self._claim_sent_at,
+                claimed_at=self._claim_first_sent_at,
                 store_seconds=now - self._claim_last_sent_at,
-                former_dead_since=self._dead_since,
+                former_dead_since=self._holder_dead_since,
                 former_token=self._former_token,
             )
         )
--- a/src/onyxspoke/core/shard/election_actions.py
+++ b/src/onyxspoke/core/shard/election_actions.py
@@ -1,4 +1,4 @@
-"""What an election says and does: states of a node towards a shard, and instructions."""
+"""States of a shard's election at one node, and the actions that the election requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ElectionState(Enum):
-    """What a node does about a shard."""
+    """State of a node in the election of one shard."""
 
     READING = "reading"
     CONNECTING = "connecting"
@@ -22,10 +22,10 @@
 
 
 class LossReason(Enum):
-    """How a connection to a peer ended, or failed.
+    """Why a connection to a peer was lost or could not be opened.
 
-    ``REFUSED``: nobody listens there.  ``CLOSED``: it was closed or reset.  ``SILENT``:
-    nothing was heard in time.
+    ``REFUSED``: no process listens on the peer's port.  ``CLOSED``: the connection was closed or
+    reset.  ``SILENT``: no message arrived before the timeout.
     """
 
     REFUSED = "refused"
@@ -34,38 +34,39 @@
 
 
 class NodeIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """One life of a node's process, and where its peers reach it."""
+    """One incarnation of a node's process, and the address at which its peers reach it."""
 
     life: str
     host: str
     port: int
     zone: str = ""
-    #: Processor share; larger nodes are to hold shards.
+    #: Relative processor share of the node; larger nodes are preferred as holders.
     weight: float = 1.0
 
 
 class ReadClaim(msgspec.Struct, frozen=True):
-    """Read the claim and the partition's end."""
+    """Read the claim and the end of the partition from the store."""
 
 
 class ConnectToHolder(msgspec.Struct, frozen=True):
-    """Have a stream to a node."""
+    """Open a connection to the holder's node unless one is open."""
 
     host: str
     port: int
 
 
 class SendClaim(msgspec.Struct, frozen=True):
-    """Append a claim."""
+    """Append a claim to the shard's partition."""
 
     append: ShardAppend
 
 
 class BecomeHolder(msgspec.Struct, frozen=True):
-    """The claim stands; ``former_dead_since`` is known where the former holder has ended.
+    """Start to act as the shard's holder: the store has accepted the claim.
 
-    ``store_seconds`` is how long the store took to answer the claim; ``former_token`` is that of
-    the claim which it replaces, 0 where there was none.
+    ``former_dead_since`` is a time by which the previous holder's process had ended, or ``None``
+    if no such time is known.  ``store_seconds`` is how long the store took to answer the claim.
+    ``former_token`` is the fencing token of the claim that was replaced, 0 if there was none.
     """
 
     claim: ClaimRecord
@@ -77,13 +78,13 @@
 
 
 class HolderChanged(msgspec.Struct, frozen=True):
-    """Another node holds the shard, or nobody that is known (``claim`` is ``None``)."""
+    """Report the node that now holds the shard; ``claim`` is ``None`` if no holder is known."""
 
     claim: ClaimRecord | None
 
 
 class ElectionNote(msgspec.Struct, frozen=True):
-    """One line for the log."""
+    """Log a change of the election's state."""
 
     state: ElectionState
     reason: str
--- a/src/onyxspoke/core/shard/journal.py
+++ b/src/onyxspoke/core/shard/journal.py
@@ -1,4 +1,4 @@
-"""A holder's state as records of its partition, and back again."""
+"""Conversion between a holder's state and the records of its partition."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 from onyxspoke.core.shard.worker_register import WorkerRegister
 from onyxspoke.core.tenants.bank import QUOTA_PREFIX
 
-#: A job that waits is not taken for older than this, whatever the clocks say.
-LONGEST_AGE_SECONDS = 600.0
+#: Upper bound of a restored job's age; limits the effect of wrong clocks.
+MAXIMUM_JOB_AGE_SECONDS = 600.0
 _MILLISECONDS = 1_000.0
 _worker_decoder = msgspec.msgpack.Decoder(WorkerRecord)
 
 
 class RecordCollector:
-    """Turns what has changed into records."""
+    """Converts state that has changed into records for the next append."""
 
     def __init__(
         self,
@@ -57,27 +57,30 @@
         self._register = register
         self._estimates = estimates
         self._claim = claim
-        self._has_marked = False
+        self._has_written_marker = False
 
     def is_dirty(self) -> bool:
-        """Return whether something has changed that no append carries yet."""
+        """Return whether some change is not part of any append yet."""
         context = self._context
         return (
             bool(context.book.dirty)
             or self._register.is_dirty
             or bool(context.bank.dirty)
-            or context.new_layout is not None
+            or context.uncommitted_layout is not None
             or self._estimates.wants_append
             or self._is_marker_due()
         )
 
     def renew(self) -> ShardRecord:
-        """Return the claim's record, written anew."""
+        """Return a record of the claim with the next renewal number."""
         self._claim = msgspec.structs.replace(self._claim, renewal=self._claim.renewal + 1)
         return ShardRecord(CLAIM_KEY, encode_claim(self._claim))
 
     def collect(self, maximum_bytes: int) -> list[ShardRecord]:
-        """Return the records of what has changed, and forget that it has."""
+        """Return the records of changed state, and clear the marks of what is returned.
+
+        Changed jobs that do not fit into ``maximum_bytes`` keep their marks.
+        """
         records = self._layout_records() + self._register.collect_records()
         records += self._quota_records() + self._estimates.collect_records()
         dirty = self._context.book.dirty
@@ -89,23 +92,23 @@
                 records.append(record)
                 size += len(record.key) + len(record.value)
         if self._is_marker_due():
-            self._has_marked = True
+            self._has_written_marker = True
             records.append(ShardRecord(STARTS_KEY, str(self._claim.token).encode()))
         return records
 
     def _is_marker_due(self) -> bool:
-        """Return whether it may be written now that all starts are on record.
+        """Return whether the marker that all starts are recorded is to be written now.
 
-        Where former holders did not record them, that is once all that they started is known, and
-        no record of it waits to be written.
+        If previous holders did not record their starts, the marker is due once recovery has
+        found every run that they started and the records of those runs have been collected.
         """
         book = self._context.book
-        is_known = book.starts_are_recorded or not book.is_recovering
-        return is_known and not self._has_marked and not book.dirty
+        are_starts_known = book.starts_are_recorded or not book.is_recovering
+        return are_starts_known and not self._has_written_marker and not book.dirty
 
     def _layout_records(self) -> list[ShardRecord]:
         context = self._context
-        layout, context.new_layout = context.new_layout, None
+        layout, context.uncommitted_layout = context.uncommitted_layout, None
         if layout is None:
             return []
         context.commit.after_commit(lambda _now: context.emit(LayoutKnown(layout)))
@@ -138,7 +141,7 @@
 
 
 class _MarkCommitted:
-    """Once a job's record is committed, its state may be shown."""
+    """Effect that makes a job's state visible once the job's record is committed."""
 
     def __init__(self, context: ShardContext, job: JobProgress, state: JobState) -> None:
         self._context = context
@@ -150,9 +153,9 @@
             self._context.book.mark_committed(self._job, self._state)
             self._context.wants_placement = True
             if self._state.is_final:
-                self._tell_end(now)
+                self._report_end(now)
 
-    def _tell_end(self, now: float) -> None:
+    def _report_end(self, now: float) -> None:
         job = self._job
         state = self._state.name.lower()
         seconds = round(now - job.accepted_at, 3)
@@ -161,21 +164,21 @@
 
 
 def starts_are_recorded(records: list[ShardRecord], former_token: int) -> bool:
-    """Return whether every start that a former holder ordered is on record.
+    """Return whether previous holders recorded every start that they ordered.
 
-    It is where the last of them, whose claim had this token, marked the partition so; one of a
-    version that does not record starts leaves the mark of another token.
+    They did if the partition's marker carries the token of the latest previous holder.  A holder
+    of a version that does not record starts leaves the marker of an older token in place.
     """
     if former_token == 0:
         return True
-    marks = [record.value for record in records if record.key == STARTS_KEY]
-    return marks == [str(former_token).encode()]
+    markers = [record.value for record in records if record.key == STARTS_KEY]
+    return markers == [str(former_token).encode()]
 
 
 def restore_records(
     context: ShardContext, register: WorkerRegister, records: list[ShardRecord], now: float
 ) -> None:
-    """Bring a new holder to what the records say; one that cannot be read is named and kept."""
+    """Restore a new holder's state from records; unreadable ones are logged and stay stored."""
     layout = find_layout(records)
     if layout is not None:
         context.emit(LayoutKnown(layout))
@@ -188,17 +191,17 @@
         elif record.key.startswith(PROGRESS_PREFIX):
             _read_progress(context, record, progress)
         elif record.key.startswith(QUOTA_PREFIX):
-            _restore_loans(context, record)
+            _restore_quota_loans(context, record)
         elif record.key.startswith(WORKER_PREFIX):
             _restore_worker(context, register, record, now)
     for job_id, data in specs.items():
         _restore_job(context, job_id, data, progress.pop(job_id, None), now)
-    for job_id, kept in progress.items():
-        context.book.restore_finished(job_id, kept, now)
+    for job_id, stored_progress in progress.items():
+        context.book.restore_finished(job_id, stored_progress, now)
     context.log("state_restored", jobs=len(context.book.jobs), records=len(records))
 
 
-def _restore_loans(context: ShardContext, record: ShardRecord) -> None:
+def _restore_quota_loans(context: ShardContext, record: ShardRecord) -> None:
     try:
         context.bank.restore(record.key.removeprefix(QUOTA_PREFIX), record.value)
     except msgspec.MsgspecError as error:
@@ -209,30 +212,34 @@
     context: ShardContext, record: ShardRecord, progress: dict[JobId, ProgressRecord]
 ) -> None:
     try:
-        kept = decode_progress(record.key, record.value)
+        stored_progress = decode_progress(record.key, record.value)
     except RecordFormatError as error:
         context.log("record_unreadable", key=record.key, error=str(error))
         return
-    progress[record.key.removeprefix(PROGRESS_PREFIX)] = kept
+    progress[record.key.removeprefix(PROGRESS_PREFIX)] = stored_progress
 
 
 def _restore_job(
-    context: ShardContext, job_id: JobId, data: bytes, kept: ProgressRecord | None, now: float
+    context: ShardContext,
+    job_id: JobId,
+    data: bytes,
+    stored_progress: ProgressRecord | None,
+    now: float,
 ) -> None:
     try:
         spec = decode_spec(spec_key(job_id), data)
     except RecordFormatError as error:
         context.log("record_unreadable", key=spec_key(job_id), error=str(error))
         return
-    context.book.restore(spec, kept, now - _age_seconds(context, spec, now), now)
+    context.book.restore(spec, stored_progress, now - _job_age_seconds(context, spec, now), now)
 
 
-def _age_seconds(context: ShardContext, spec: JobSpec, now: float) -> float:
-    """Return how long ago a job was accepted, as far as the time of day can be trusted."""
+def _job_age_seconds(context: ShardContext, spec: JobSpec, now: float) -> float:
+    """Return for how many seconds a job has been accepted, by the time of day, within bounds."""
     if not spec.accepted_at_ms:
         return 0.0
     age = (context.wall_ms(now) - spec.accepted_at_ms) / _MILLISECONDS
-    return min(max(0.0, age), LONGEST_AGE_SECONDS)
+    return min(max(0.0, age), MAXIMUM_JOB_AGE_SECONDS)
 
 
 def _restore_worker(
--- a/src/onyxspoke/core/shard/log_records.py
+++ b/src/onyxspoke/core/shard/log_records.py
@@ -1,4 +1,4 @@
-"""Records of a shard's partition, and what the store answers about them."""
+"""Records of a shard's partition, appends, and the store's answers."""
 
 from __future__ import annotations
 
@@ -8,37 +8,38 @@
 
 ShardId = int
 
-#: The claim and the cell's layout sort behind every other key, so that they can be read
-#: without the rest.
+#: The keys of the claim and of the cell's layout sort after all other keys, so that a node can
+#: read these two records without the others.
 CLAIM_KEY = "~claim"
 LAYOUT_KEY = "~layout"
-#: Token of the latest holder under which every start is on record before it is ordered.
+#: Key of the marker that all starts are recorded before they are ordered; its value is the token
+#: of the latest holder that recorded them.
 STARTS_KEY = "~starts"
-#: What the latest holder had learned of durations and speeds.
+#: Key of the latest holder's learned estimates of durations and worker speeds.
 ESTIMATES_KEY = "estimates"
-#: The greatest key before the claim's.
+#: Reading the keys after this one returns the claim, the layout and the marker of starts.
 BEFORE_CLAIM_KEY = "~"
 WORKER_PREFIX = "worker/"
 
 
 class ShardRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One record of a partition; an empty value drops the key."""
+    """One record of a partition; an empty value deletes the key."""
 
     key: str
     value: bytes
 
 
 class ShardAppend(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Records to append, all or nothing.
+    """Records that the store appends atomically.
 
     Attributes
     ----------
     epoch : int
-        Ends every writer with a lower one.
+        Epoch of the writer; the store rejects all later appends with a lower epoch.
     sequence : int
-        Number of the append within the epoch; the same again does nothing more.
+        Number of the append within the epoch; the store ignores the records of a duplicate.
     expected_end : int
-        Append only if the partition ends there; -1 for anywhere.
+        The append succeeds only if the partition ends at this offset; -1 for any offset.
     """
 
     shard: ShardId
@@ -49,11 +50,12 @@
 
 
 class AppendOutcome(Enum):
-    """What became of an append.
+    """Outcome of an append.
 
-    ``NOT_DONE``: refused, nothing was done.  ``UNKNOWN``: it may have been done, or may yet
-    be.  ``MOVED``: the partition ends elsewhere.  ``FENCED``: another epoch is higher.
-    ``OUT_OF_SEQUENCE``: the sequence does not follow.  ``INVALID``: the store cannot take it.
+    ``NOT_DONE``: the store refused the append and changed nothing.  ``UNKNOWN``: the store may
+    have carried out the append, or may do so later.  ``MOVED``: the partition does not end at the
+    expected offset.  ``FENCED``: the store has seen a higher epoch.  ``OUT_OF_SEQUENCE``: the
+    sequence number is not the next one.  ``INVALID``: the store rejects the request as malformed.
     """
 
     DONE = "done"
@@ -66,19 +68,19 @@
 
 
 class AppendResult(msgspec.Struct, frozen=True, array_like=True):
-    """The store's answer to an append; ``end`` is -1 where it was not told."""
+    """The store's answer to an append; ``end`` is -1 if the answer does not contain it."""
 
     outcome: AppendOutcome
     offset: int = -1
     end: int = -1
-    #: How long the call took that was answered, without tries before it; 0 where not known.
+    #: Duration of the answered call, without earlier attempts; 0 if it is not known.
     call_seconds: float = 0.0
 
 
 class NewestPage(msgspec.Struct, frozen=True, array_like=True):
-    """The newest records behind a key, in order of keys.
+    """The latest record of each key after a given key, in the order of the keys.
 
-    ``is_known`` is false where the store gave no answer.
+    ``is_known`` is false if the store did not answer.
     """
 
     is_known: bool
@@ -88,16 +90,16 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Who holds a shard; written again now and then, so that the partition's end moves.
+    """Claim of a shard's holder; each renewal of the record moves the partition's end.
 
     Attributes
     ----------
     life : str
-        Names one life of one process; no two are alike.
+        Unique name of the incarnation of the holder's process.
     token : int
-        Fencing token of the claim, one more than the partition's end before it.
+        Fencing token of the claim: the end of the partition before the claim, plus one.
     renewal : int
-        Counts how often this record was written.
+        Number of times that the holder has renewed the record.
     """
 
     life: str
@@ -112,12 +114,12 @@
 
 
 def encode_claim(claim: ClaimRecord) -> bytes:
-    """Return the value of a claim's record."""
+    """Return a claim as the value of its record."""
     return _encoder.encode(claim)
 
 
 def decode_claim(value: bytes) -> ClaimRecord | None:
-    """Return the claim in a record, or ``None`` if it cannot be read."""
+    """Return the claim in a record's value, or ``None`` if the value cannot be decoded."""
     try:
         return _claim_decoder.decode(value)
     except msgspec.MsgspecError:
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -1,7 +1,7 @@
-"""The holder of one shard: stimuli in, actions out.
+"""Scheduler of one shard: handles events and returns actions.
 
-It exists only while its process holds the shard; what it knows comes from the store's
-records, from the workers, and from what it is told.
+A scheduler exists only while its process holds the shard.  It learns its state from the records in
+the store, from the workers, and from the events that its caller passes to it.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from onyxspoke.core.shard.admission_desk import AdmissionDesk
 from onyxspoke.core.shard.call_desk import CallDesk
 from onyxspoke.core.shard.calls import Call, CallReply
-from onyxspoke.core.shard.commit import MINIMUM_INTERVAL_SECONDS, CommitQueue
+from onyxspoke.core.shard.commit import MINIMUM_COMMIT_INTERVAL_SECONDS, CommitQueue
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
 from onyxspoke.core.shard.estimates_keeper import EstimatesKeeper
 from onyxspoke.core.shard.evacuation import Evacuation
@@ -58,36 +58,36 @@
 from onyxspoke.core.shard.worker_register import WorkerRegister
 from onyxspoke.core.tenants.bank import QuotaRequest
 
-#: The loop stood still for longer: the process may have been paused.
-STALL_SECONDS = 0.7
-#: Between two looks at what changes slowly: schedules, progress, leaving workers, paces.
-ROUND_SECONDS = 0.05
-#: Between two passes of placement, so that in a busy cell what happens close together shares one.
-PLACEMENT_PAUSE_SECONDS = 0.005
-#: The more steps wait, the longer a pass takes and the rarer they are: so much for each step, ...
-PLACEMENT_PAUSE_A_STEP_SECONDS = 0.0001
-#: ... up to here.
-LONGEST_PLACEMENT_PAUSE_SECONDS = 0.025
+#: A longer gap between two events means that the process was stalled, and may have been suspended.
+STALL_THRESHOLD_SECONDS = 0.7
+#: Interval of periodic maintenance: schedules, progress of runs, draining workers, paces.
+MAINTENANCE_INTERVAL_SECONDS = 0.05
+#: Shortest pause between two placement passes, so that events close together share one pass.
+MINIMUM_PLACEMENT_PAUSE_SECONDS = 0.005
+#: Additional pause per waiting step, because a pass takes longer the more steps wait.
+PLACEMENT_PAUSE_PER_STEP_SECONDS = 0.0001
+#: Upper bound of the pause between two placement passes.
+MAXIMUM_PLACEMENT_PAUSE_SECONDS = 0.025
 _MILLISECONDS = 1_000.0
 
 
 class ShardScheduler:
-    """Decides for one shard.
+    """Schedules the jobs of one shard on the shard's workers.
 
     Parameters
     ----------
     shard : int
-        Which shard.
+        Identifier of the shard.
     claim : ClaimRecord
-        Our claim, as it stands in the store.
+        Claim of this process, as the store has it.
     next_sequence : int
-        Number of the next append of our epoch.
+        Sequence number of the next append in the claim's epoch.
     claimed_at : float
-        When the claim was sent.
+        When the claim was first sent.
     store_seconds : float
         How long the store took to answer the claim.
     options : ShardOptions
-        Bounds and timings.
+        Limits and timings.
     """
 
     def __init__(
@@ -102,28 +102,30 @@
         self.context = ShardContext(options, claim.token, shard)
         self._options = options
         self.runs = RunKeeper(self.context)
-        self._starter = RunStarter(self.context, self.runs)
+        self._run_starter = RunStarter(self.context, self.runs)
         reports = RunReports(self.context, self.runs)
         self.register = WorkerRegister(
-            self.context, former_orders_until=claimed_at + options.proof_seconds
+            self.context, former_orders_until=claimed_at + options.ownership_proof_seconds
         )
         self.workers = WorkerKeeper(self.context, self.runs, reports, self.register)
         self.quotas = QuotaDesk(self.context)
         self._admission = AdmissionDesk(self.context, self.register)
-        self._calls = CallDesk(self.context, self.runs, self.quotas, self._admission)
-        self._paces = PaceKeeper(self.context)
+        self._call_handler = CallDesk(self.context, self.runs, self.quotas, self._admission)
+        self._pace_controller = PaceKeeper(self.context)
         self._evacuation = Evacuation(self.context, self.runs)
         self._estimates = EstimatesKeeper(self.context)
-        self._collector = RecordCollector(self.context, self.register, self._estimates, claim)
+        self._record_collector = RecordCollector(
+            self.context, self.register, self._estimates, claim
+        )
         self.context.commit = CommitQueue(
             shard=shard,
             epoch=claim.token,
             next_sequence=next_sequence,
             proof_at=claimed_at,
-            collect=self._collector.collect,
-            renew=self._collector.renew,
-            is_dirty=self._collector.is_dirty,
-            latest_seconds=store_seconds,
+            collect=self._record_collector.collect,
+            renew=self._record_collector.renew,
+            is_dirty=self._record_collector.is_dirty,
+            latest_call_seconds=store_seconds,
         )
         stop_seconds = options.stop_grace_ms / _MILLISECONDS
         self._placer = Placer(
@@ -134,22 +136,22 @@
         )
         self._last_active_at = claimed_at
         self._is_recovered = False
-        self._next_round_at = 0.0
+        self._next_maintenance_at = 0.0
         self._next_placement_at = 0.0
-        #: Whether a pass of placement is wanted that is to come a little later.
-        self._is_placement_put_off = False
+        #: Whether a placement pass is needed but must wait for the pause after the previous one.
+        self._is_placement_deferred = False
 
     # Recovery
 
     def recover(
         self, records: list[ShardRecord], former_token: int, now: float, wall_ms: float
     ) -> list[ShardAction]:
-        """Take in everything that the store holds of the shard.
+        """Restore the shard's state from the records in the store.
 
         Parameters
         ----------
         former_token : int
-            Of the claim that ours replaced; 0 where there was none.
+            Fencing token of the claim that this process replaced; 0 if there was none.
         """
         self.context.book.starts_are_recorded = starts_are_recorded(records, former_token)
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
@@ -157,35 +159,35 @@
         restore_records(self.context, self.register, records, now)
         for worker_id in self.context.book.doubted_workers():
             if worker_id not in self.context.table.workers:
-                # Its record was dropped when it was certain that it ran nothing more.
+                # A worker's record is dropped only once the worker certainly runs nothing.
                 self.context.book.settle_worker(worker_id, now)
         self._is_recovered = True
         self._last_active_at = now
         return self.flush(now)
 
     def former_holder_is_dead(self, since: float) -> None:
-        """The former holder's process is known to have ended by then."""
+        """Handle the information that the previous holder's process had ended by a time."""
         self.register.handle_advice_of_death(since)
 
     def set_commit_interval(self, seconds: float) -> None:
-        """Take the pause between two appends that the store's rates ask for."""
-        self.context.commit.interval_seconds = max(seconds, MINIMUM_INTERVAL_SECONDS)
+        """Set the pause between two appends that the store's rate limits require."""
+        self.context.commit.interval_seconds = max(seconds, MINIMUM_COMMIT_INTERVAL_SECONDS)
 
     def stimulus_layout(self, layout: CellLayout) -> None:
-        """Write the layout of a new cell; it is told once the store has it."""
-        self.context.new_layout = layout
+        """Write the layout of a new cell; an action reports the layout once it is stored."""
+        self.context.uncommitted_layout = layout
 
-    # The platform
+    # Configuration, directory and store
 
     def stimulus_policy(self, policy: PolicySet, now: float) -> None:
-        """The operator's configuration changed."""
+        """Apply a change of the operator's configuration."""
         self.context.policy = policy
         self.context.shares.keep_only(set(policy.tenants))
         self._placer.reconsider_all()
         self.context.wants_placement = True
 
     def stimulus_shard_count(self, count: int) -> None:
-        """The cell has so many shards, which share every tenant's quota and weight."""
+        """Set the number of shards that share every tenant's quota and weight."""
         self.context.shard_count = count
 
     def stimulus_workers_listed(
@@ -195,67 +197,67 @@
         is_whole: bool,
         now: float,
     ) -> None:
-        """The directory lists these workers, and entries that name none."""
+        """Handle a listing of the directory: its workers, and its unusable items."""
         self.register.handle_listed(records, unusable, is_whole, now)
 
     def stimulus_worker_unlisted(self, worker_id: WorkerId, now: float) -> None:
-        """The directory lists a worker no longer."""
+        """Handle the removal of a worker from the directory."""
         self.register.handle_unlisted(worker_id, now)
 
     def stimulus_advisors(self, names: list[str], now: float) -> None:
-        """These entries can carry calls for advice."""
+        """Set the entries that can make calls to the advice service."""
         self.context.desk.set_advisors(names, now)
         self.context.wants_placement |= self.context.desk.has_moved_calls
 
     def stimulus_store_unreachable(self, until: float) -> None:
-        """No node reaches the store, so that nobody can claim the shard until then."""
+        """Note that no node reaches the store, so that no node can claim the shard until a time."""
         self.context.unclaimable_until = until
 
-    # Answers
+    # Results of orders, advice calls and appends
 
     def stimulus_hold_result(
         self, address: WorkerAddress, number: int, result: HoldResult, now: float
     ) -> None:
-        """A worker answered a hold, or did not."""
+        """Handle a worker's answer to a hold, or its absence."""
         worker = self._find_worker(address)
         if worker is not None and not self.context.is_over:
-            self._note_active(now)
+            self._record_activity(now)
             self.workers.handle_hold_result(worker, number, result, now)
 
     def stimulus_start_result(
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
-        """A worker answered an order to start, or did not."""
+        """Handle a worker's answer to a start order, or its absence."""
         if self._check_fence(result):
-            self._note_active(now)
+            self._record_activity(now)
             if result.outcome is not OrderOutcome.NO_ANSWER:
                 self.context.table.open_starts.handle_answered(address.worker_id, run)
             worker = self._find_worker(address)
             if worker is not None:
-                self._starter.handle_start_result(worker, run, result, now)
+                self._run_starter.handle_start_result(worker, run, result, now)
                 if result.outcome is OrderOutcome.NO_ANSWER:
                     self.workers.note_answer_lost(now)
 
     def stimulus_stop_result(
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
-        """A worker answered an order to stop, or did not."""
+        """Handle a worker's answer to a stop order, or its absence."""
         if self._check_fence(result):
-            self._note_active(now)
+            self._record_activity(now)
             worker = self._find_worker(address)
             if worker is not None:
                 self.runs.handle_stop_result(worker, run, result, now)
 
     def stimulus_pace_result(self, order: SendPace, result: OrderResult, now: float) -> None:
-        """A worker answered a change of pace, or did not."""
+        """Handle a worker's answer to a pace order, or its absence."""
         if self._check_fence(result):
             worker = self._find_worker(order.address)
             if worker is not None:
                 is_done = result.outcome is OrderOutcome.DONE
-                self._paces.handle_result(worker, order.run, order.percent, is_done)
+                self._pace_controller.handle_result(worker, order.run, order.percent, is_done)
 
     def stimulus_advice_result(self, call_id: int, result: AdviceResult, now: float) -> None:
-        """The advice service answered, or did not."""
+        """Handle the advice service's answer to a call, or its absence."""
         step = self.context.desk.handle_result(call_id, result, now)
         if step is not None:
             asked = len(self.context.desk.workers_asked(step))
@@ -268,10 +270,13 @@
     def stimulus_append_result(
         self, sequence: int, sent_at: float, result: AppendResult, now: float
     ) -> None:
-        """The store answered the append with this sequence that was sent then, or did not."""
+        """Handle the store's answer to an append, or its absence.
+
+        The arguments name the append's sequence number and the time when the call was sent.
+        """
         if self.context.is_over:
             return
-        self._note_active(now)
+        self._record_activity(now)
         if self.context.commit.handle_result(sequence, sent_at, result, now):
             return
         is_fenced = result.outcome is AppendOutcome.FENCED
@@ -279,7 +284,7 @@
         self.context.step_down(reason)
 
     def _find_worker(self, address: WorkerAddress) -> Worker | None:
-        """Return the life that an order was meant for, unless it is over."""
+        """Return the incarnation to which an order was addressed, unless it has ended."""
         worker = self.context.table.workers.get(address.worker_id)
         if worker is None or address.born_ms not in (0, worker.born_ms):
             return None
@@ -288,75 +293,75 @@
     # Calls
 
     def stimulus_call(self, call_id: int, call: Call, now: float) -> None:
-        """An entry passes on a client's call."""
-        self._note_active(now)
-        self._calls.handle_call(call_id, call, now)
+        """Handle a client call that an entry forwards."""
+        self._record_activity(now)
+        self._call_handler.handle_call(call_id, call, now)
 
     def stimulus_quota_reply(self, request: QuotaRequest, reply: CallReply, now: float) -> None:
-        """A tenant's home shard answered a request for a part of its quota, or did not."""
+        """Handle the home shard's answer to a quota request, or its absence."""
         self.quotas.handle_reply(request, reply, now)
 
     def admission_summary(self, now: float) -> AdmissionSummary | None:
-        """Return which queues are closed; nothing while that is not known, or switched off."""
+        """Return which queues are closed, or ``None`` if this is unknown or admission is off."""
         return self._admission.summary(now) if self._is_recovered else None
 
-    # Time
+    # Timeouts and flushing
 
     def stimulus_tick(self, now: float, wall_ms: float) -> None:
-        """Some time has passed; ``wall_ms`` is the time of day, counted from 1970."""
+        """Act on timeouts; ``wall_ms`` is the time of day in milliseconds since 1970."""
         if self.context.is_over or not self._is_recovered:
             return
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
-        self._note_active(now)
-        self._calls.keep(now)
+        self._record_activity(now)
+        self._call_handler.answer_overdue_calls(now)
         self.workers.keep(now)
-        if now >= self._next_round_at:
-            self._next_round_at = now + ROUND_SECONDS
-            self._keep_slowly(now, wall_ms)
+        if now >= self._next_maintenance_at:
+            self._next_maintenance_at = now + MAINTENANCE_INTERVAL_SECONDS
+            self._run_maintenance(now, wall_ms)
 
-    def _note_active(self, now: float) -> None:
-        """The process runs; after a pause the shard is unproven, whatever came in first."""
-        gap = now - self._last_active_at
+    def _record_activity(self, now: float) -> None:
+        """Record an event; after a stall, ownership is unproven whatever the first event is."""
+        gap_seconds = now - self._last_active_at
         self._last_active_at = now
-        if gap > STALL_SECONDS:
-            self.context.log("stalled", seconds=round(gap, 2))
+        if gap_seconds > STALL_THRESHOLD_SECONDS:
+            self.context.log("stalled", seconds=round(gap_seconds, 2))
             self.context.paused_until = now
 
-    def _keep_slowly(self, now: float, wall_ms: float) -> None:
-        """Look at everything that need not be looked at on every tick."""
-        self.context.book.keep(now, wall_ms, self._options.early_ms)
+    def _run_maintenance(self, now: float, wall_ms: float) -> None:
+        """Run the maintenance that is not needed on every tick."""
+        self.context.book.keep(now, wall_ms, self._options.repetition_lead_ms)
         self.runs.keep(now)
         self._evacuation.keep(now)
-        self._paces.keep(now)
+        self._pace_controller.keep(now)
         self._admission.keep(now)
         self._estimates.keep(now)
         self.context.wants_placement = True
 
     def flush(self, now: float) -> list[ShardAction]:
-        """Place what can be placed, commit what is due, and hand out the instructions."""
+        """Place waiting steps, start an append if one is due, and return all pending actions."""
         context = self.context
         if not context.is_over and self._is_recovered:
-            self._note_active(now)
+            self._record_activity(now)
             self._place_if_due(now)
             append = context.commit.next_append(now)
             if append is not None:
-                self._calls.note_append_sent()
-                context.emit(SendAppend(append, context.commit.patience_seconds()))
+                self._call_handler.handle_append_sent()
+                context.emit(SendAppend(append, context.commit.answer_timeout_seconds()))
         actions, context.actions = context.actions, []
         return actions
 
     def next_moment(self) -> float | None:
-        """Return when :meth:`flush` is to be called though nothing comes in."""
+        """Return when :meth:`flush` is due without further events, or ``None``."""
         moment = self.context.commit.next_moment()
-        if not self._is_placement_put_off:
+        if not self._is_placement_deferred:
             return moment
         return self._next_placement_at if moment is None else min(moment, self._next_placement_at)
 
     def _place_if_due(self, now: float) -> None:
         context = self.context
         is_wanted = context.wants_placement and context.may_order(now)
-        self._is_placement_put_off = is_wanted and now < self._next_placement_at
-        if is_wanted and not self._is_placement_put_off:
+        self._is_placement_deferred = is_wanted and now < self._next_placement_at
+        if is_wanted and not self._is_placement_deferred:
             context.wants_placement = False
             self._place(now)
 
@@ -365,18 +370,18 @@
         for step in context.desk.take_due_retries(now):
             self._placer.reconsider(step)
         steps = list(context.book.startable_steps())
-        pause = PLACEMENT_PAUSE_SECONDS + PLACEMENT_PAUSE_A_STEP_SECONDS * len(steps)
-        self._next_placement_at = now + min(pause, LONGEST_PLACEMENT_PAUSE_SECONDS)
+        pause = MINIMUM_PLACEMENT_PAUSE_SECONDS + PLACEMENT_PAUSE_PER_STEP_SECONDS * len(steps)
+        self._next_placement_at = now + min(pause, MAXIMUM_PLACEMENT_PAUSE_SECONDS)
         plans = self._placer.plan(steps, context.policy, self.quotas.begin_pass(now), now)
         for plan in plans:
-            self._starter.start(plan, now)
+            self._run_starter.start(plan, now)
         for overlooked in self._placer.take_overlooked():
             self._log_overlooked(overlooked, now)
         for held_back in self._placer.take_newly_over_quota():
             self._log_over_quota(held_back)
         for eviction in self._placer.take_evictions():
             self.runs.preempt(eviction, now)
-        # A long plan was cut off; the rest follows.
+        # A pass that reached the limit of placements was cut off; another pass places the rest.
         context.wants_placement = sum(len(item.placements) for item in plans) >= MAXIMUM_PLACEMENTS
         for call in context.desk.dispatch(now):
             context.emit(AskAdvice(call.call_id, call.advisor, call.step, call.worker_ids))
@@ -410,7 +415,7 @@
         )
 
     def _check_fence(self, result: OrderResult) -> bool:
-        """Step down if a worker has seen a higher token; return whether to go on."""
+        """Step down if a worker has seen a higher token; return whether to continue."""
         if self.context.is_over:
             return False
         if result.outcome.is_fence:
--- a/src/onyxspoke/core/shard/store_budget.py
+++ b/src/onyxspoke/core/shard/store_budget.py
@@ -1,8 +1,8 @@
-"""What the store takes from all nodes together, and what each may make of it.
+"""Rate limits of the store for all nodes together, and the pacing of each node's calls.
 
-The store turns away every call beyond its rates, also the one on which a holder's claim
-depends.  So what every node does on its own accord, such as looking for a holder, slows down
-as the cell grows.
+The store rejects every call above its rate limits, including calls on which a holder's claim
+depends.  Each node therefore makes periodic calls, such as polls for a shard's holder, less often
+in a larger cell.
 """
 
 from __future__ import annotations
@@ -11,38 +11,40 @@
 
 import msgspec
 
-#: Share of the writes that the holders' appends may use together.
-COMMIT_SHARE = 0.5
-#: Share of the reads that nodes may use together to look for holders.
-LOOK_SHARE = 0.25
+#: Fraction of the store's write rate that all holders' appends together may use.
+COMMIT_WRITE_SHARE = 0.5
+#: Fraction of the store's read rate that all nodes' polls for holders together may use.
+POLL_READ_SHARE = 0.25
 
 
 class StoreBudget(msgspec.Struct, frozen=True, kw_only=True):
-    """Calls a second that the store takes from all nodes of a cell together."""
+    """Calls per second that the store accepts from all nodes of a cell together."""
 
     writes_per_second: float = math.inf
     reads_per_second: float = math.inf
 
 
 class StorePacing(msgspec.Struct, frozen=True, kw_only=True):
-    """How often one node of a cell may call the store.
+    """Shortest intervals between the store calls of one node.
 
     Attributes
     ----------
     commit_seconds : float
-        Between two appends of one holder at least.
-    look_seconds : float
-        Between two looks for one shard's holder at least, at a node that is not to take over;
-        the turns of such nodes to claim the shard are spread over as long.
+        Shortest interval between two appends of one holder.
+    poll_interval_seconds : float
+        Shortest interval between two polls for one shard's holder, at nodes that are not
+        successors; the claims of such nodes are spread over the same time.
     """
 
     commit_seconds: float = 0.0
-    look_seconds: float = 0.0
+    poll_interval_seconds: float = 0.0
 
 
 def pace_calls(budget: StoreBudget, node_count: int, shard_count: int) -> StorePacing:
-    """Return the pacing of a node in a cell of so many nodes and shards."""
+    """Return the pacing of each node in a cell with this many nodes and shards."""
     return StorePacing(
-        commit_seconds=shard_count / (COMMIT_SHARE * budget.writes_per_second),
-        look_seconds=node_count * shard_count / (LOOK_SHARE * budget.reads_per_second),
+        commit_seconds=shard_count / (COMMIT_WRITE_SHARE * budget.writes_per_second),
+        poll_interval_seconds=node_count
+        * shard_count
+        / (POLL_READ_SHARE * budget.reads_per_second),
     )
