--- a/features/election.feature
+++ b/features/election.feature
@@ -1,66 +1,66 @@
-Feature: Who holds a shard, as one node sees it
+Feature: Election of a shard's holder, as one node sees it
 
-  Scenario: A node that waits for its turn looks whether another one has claimed
-    Given a follower that comes 30th among those who could take over
-    When its holder lets go
+  Scenario: A node that waits for its turn checks whether another node has claimed the shard
+    Given a follower that is successor number 30
+    When its holder gives up the shard
     Then it waits for its turn
     When 0.3 seconds pass for the node
     Then it reads the claim
-    When the claim that it reads is another node's
+    When it reads a newer claim of another node
     Then it connects to that node
 
-  Scenario: The longest wait for a turn is bounded, however many nodes there are
-    Given a follower that comes 300th among those who could take over
-    When its holder lets go
+  Scenario: The wait for a turn is bounded for any number of nodes
+    Given a follower that is successor number 300
+    When its holder gives up the shard
     And 1.1 seconds pass for the node
-    Then it claims
+    Then it claims the shard
 
-  Scenario: A holder that goes on writing is not replaced by a node that waits for its turn
-    Given a follower that comes 30th among those who could take over
-    When its holder lets go
+  Scenario: A node that waits for its turn does not replace a holder that still writes
+    Given a follower that is successor number 30
+    When its holder gives up the shard
     And 0.3 seconds pass for the node
-    And the partition that it reads has grown
+    And it reads the same claim and a later end of the partition
     Then it connects to that node
 
-  Scenario: A node that waits for its turn follows the new holder that tells it so
-    Given a follower that comes 30th among those who could take over
-    When its holder lets go
-    And another node tells that it holds the shard
+  Scenario: A node that waits for its turn follows a new holder that reports its claim
+    Given a follower that is successor number 30
+    When its holder gives up the shard
+    And another node reports that it holds the shard
     Then it follows that node
 
-  Scenario: A node that still follows the former holder turns to the new one
-    Given a follower that comes 30th among those who could take over
-    When another node tells that it holds the shard
+  Scenario: A node that still follows the previous holder switches to the new holder
+    Given a follower that is successor number 30
+    When another node reports that it holds the shard
     Then it follows that node
-    And calls go to that node from now on
+    And it reports that node as the new holder
 
-  Scenario: A node that lost the race leaves the winner the time to hear that it has won
-    Given a follower that comes 2th among those who could take over
-    When its holder lets go
-    And the claim that it reads is another node's
-    And that node says nothing of a claim
+  Scenario: A node that lost the election gives the winner time to learn that its claim succeeded
+    Given a follower that is successor number 2
+    When its holder gives up the shard
+    And it reads a newer claim of another node
+    And that node reports no claim
     And 0.2 seconds pass for the node
-    Then it does not claim
-    When another node tells that it holds the shard
+    Then it does not claim the shard
+    When another node reports that it holds the shard
     Then it follows that node
 
-  Scenario: A winner that says nothing of its claim for a second has let go
-    Given a follower that comes 2th among those who could take over
-    When its holder lets go
-    And the claim that it reads is another node's
-    And that node says nothing of a claim for 1.1 seconds
+  Scenario: A winner that reports no claim for one second has given up the shard
+    Given a follower that is successor number 2
+    When its holder gives up the shard
+    And it reads a newer claim of another node
+    And that node still reports no claim after 1.1 seconds
     Then it reads the claim
 
-  Scenario: A new holder tells the nodes that waited for their turns
+  Scenario: A new holder notifies the nodes that waited for their turns
     Given a cluster of 12 nodes
     When the holder of the cluster is killed
     And 0.4 seconds pass in that cluster
-    Then every other node of it is ready
+    Then every other node of the cluster is ready
 
-  Scenario Outline: A node that nobody named claims in the end, however slow the store: <seconds>
-    Given a node that nobody named and that takes the holder for lost
-    When 3 seconds pass for it, each look being answered after <seconds> seconds
-    Then it claims
+  Scenario Outline: A node that is not a successor claims the shard even if the store is slow: <seconds>
+    Given a node that is not a successor and whose connection to the holder was refused
+    When 3 seconds pass for the node, and each read is answered after <seconds> seconds
+    Then it claims the shard
 
     Examples:
       | seconds |
--- a/features/shards.feature
+++ b/features/shards.feature
@@ -1,25 +1,25 @@
-Feature: A cell is divided into shards, each with one holder
+Feature: Each shard of a cell has one holder
 
-  Scenario: A seat that is started again holds its shard on
-    Given a cell of three shards that are all held
-    When every seat of every node is started again
+  Scenario: A shard participant that is restarted still holds its shard
+    Given a cell in which each of three shards has a holder
+    When every shard participant of every node is restarted
     And 1 seconds pass in that cell
-    Then each shard has the holder and the token that it had
+    Then each shard has the same holder and token as before
 
-  Scenario Outline: A schedule that once never ended is played to its end: <seed>
-    When jobs are played over seed <seed> in 3 shards, with crashes and changing workers
+  Scenario Outline: A fault schedule that used to run forever finishes: <seed>
+    When jobs are simulated in 3 shards for seed <seed>, with crashes and changing workers
     Then nothing that must hold is broken
 
-    Examples: a node told of the layout before its service began claimed a shard from itself
+    Examples: a node that learned the layout before its service started claimed a shard from itself
       | seed |
       | 2198 |
 
-  Scenario Outline: A new cell gets as many shards as its size wants
+  Scenario Outline: The number of shards of a new cell follows from its number of workers
     Given <workers> workers in racks of 12 over 3 rows
-    When the cell is laid out with 240 workers a shard and <most> shards at most
-    Then it has <shards> shards
-    And no shard has less than half of an even part of the workers
-    And the workers of a rack share a shard
+    When the layout is planned for 240 workers per shard and at most <most> shards
+    Then the layout has <shards> shards
+    And each shard has at least half of the average number of workers per shard
+    And all workers of a rack belong to one shard
 
     Examples:
       | workers | most | shards |
@@ -31,54 +31,54 @@
       | 15000   | 24   | 24     |
       | 15000   | 300  | 63     |
 
-  Scenario: A cell of few racks gets no shard without workers
+  Scenario: A cell with few racks has no shard without workers
     Given 400 workers in racks of 200 over 1 rows
-    When the cell is laid out with 50 workers a shard and 24 shards at most
-    Then it has 2 shards
-    And no shard has less than half of an even part of the workers
+    When the layout is planned for 50 workers per shard and at most 24 shards
+    Then the layout has 2 shards
+    And each shard has at least half of the average number of workers per shard
 
-  Scenario: Jobs go round the shards evenly
+  Scenario: Jobs are distributed evenly over the shards
     Given 3000 workers in racks of 12 over 3 rows
-    When the cell is laid out with 240 workers a shard and 24 shards at most
-    Then of 13000 jobs each shard gets between 900 and 1100
+    When the layout is planned for 240 workers per shard and at most 24 shards
+    Then each shard gets between 900 and 1100 of 13000 jobs
 
-  Scenario: Every node learns the layout, and it outlives all of them
+  Scenario: Every node learns the layout, and the layout survives a restart of all nodes
     Given a cluster of three shards
-    Then every node knows 3 shards
-    When all its nodes are killed and start again
-    Then every node knows 3 shards
+    Then every node has a layout of 3 shards
+    When all nodes of the cluster are killed and restarted
+    Then every node has a layout of 3 shards
 
-  Scenario: Several nodes share the shards of a new cell
+  Scenario: Several nodes hold the shards of a new cell
     Given a cluster of three shards
-    Then each shard has one holder, and 2 nodes at least hold one
+    Then each shard has one holder, and at least 2 nodes hold a shard
 
-  Scenario: Jobs that wait are counted over all shards
+  Scenario: The number of waiting jobs covers all shards
     Given a cluster of three shards
-    And no worker of it can be reached
-    When 12 jobs are handed in there
-    Then 12 jobs wait, whichever node is asked
+    And no node can reach a worker
+    When 12 jobs are submitted to one node
+    Then every node reports 12 waiting jobs
 
-  Scenario: A node that does not know the layout takes no job
+  Scenario: A node that does not know the layout accepts no job
     Given a cluster of three shards
-    When a node that does not know the layout is asked to take a job
-    Then it refuses, and says when to come back
+    When a job is submitted to a node that does not know the layout
+    Then the node is not ready, and refuses the job with a retry time
 
-  Scenario: The loss of one shard's holder leaves the others in service
+  Scenario: The other nodes stay ready after the loss of one shard's holder
     Given a cluster of three shards
-    When the holder of one of them loses its power
-    And 0.3 seconds pass there
+    When a node that holds one shard loses power
+    And 0.3 seconds pass for the other nodes
     Then the other nodes are ready
 
-  Scenario: Schedules of faults break nothing in a cell of three shards
-    When jobs are played over seeds 1 to 25 with drawn faults, in three shards
+  Scenario: Random faults violate no invariant in a cell of three shards
+    When jobs are simulated in three shards with random faults, for seeds 1 to 25
     Then nothing that must hold is broken
 
-  Scenario: Successors are the larger nodes, in another order for each shard
-    Given 20 small nodes and 6 large ones that could take over
-    Then the successors in each of 12 shards are 8, the large ones first
-    And at least 4 nodes come first in some shard
+  Scenario: The successors are the larger nodes, in a different order for each shard
+    Given 20 small and 6 large candidate successors
+    Then each of 12 shards has 8 successors, in order of decreasing weight
+    And at least 4 different nodes are the first successor of some shard
 
-  Scenario: In a large cell followers send their heartbeats less often, and are not taken for silent
+  Scenario: Followers in a large cell send fewer heartbeats, and their connections stay open
     Given a follower in a cell of 300 nodes
-    Then it sends a heartbeat each 1.2 seconds
-    And its stream is ended after 4.8 seconds of silence
+    Then it sends a heartbeat every 1.2 seconds
+    And its peers close the connection after 4.8 seconds of silence
--- a/features/slow_store.feature
+++ b/features/slow_store.feature
@@ -1,11 +1,11 @@
-Feature: A store that answers all nodes, and slowly
+Feature: A store that is slow for all nodes
 
-  A holder waits 0.2 seconds for an answer as a rule.
+  A holder normally waits 0.2 seconds for the store's answer.
 
-  Scenario Outline: A holder stays, because no other node would be served sooner: <slow>
+  Scenario Outline: A holder keeps its shard, because the store is as slow for other nodes: <slow>
     Given a cluster of 5 nodes whose store takes <slow> seconds an answer
     When jobs are handed in there for 6 seconds
-    Then the shard had no more than 1 holder
+    Then the shard had at most 1 holder
     And no job of the last 5 seconds was refused
 
     Examples:
@@ -14,12 +14,12 @@
       | 0.26 |
       | 0.42 |
 
-  Scenario Outline: Nodes that are stopped in turn hand the shard on, and it is served in between: <slow>
+  Scenario Outline: A planned stop hands the shard over, and jobs are accepted meanwhile: <slow>
     Given a cluster of 5 nodes whose store takes <slow> seconds an answer
     When jobs are handed in there for 2 seconds
-    And the holder there is stopped as planned
+    And a planned stop of the cluster's holder begins
     And jobs are handed in there for 4 seconds
-    Then the shard had no more than 2 holders
+    Then the shard had at most 2 holders
     And no job of the last 3 seconds was refused
     And every accepted job there was answered within <bound> seconds
 
@@ -29,19 +29,19 @@
       | 0.26 | 1.6   |
       | 0.42 | 2.4   |
 
-  Scenario Outline: Of appends whose answers are lost the callers notice little: <late> s late
+  Scenario Outline: Lost answers to appends delay few submissions: <late> s late
     Given a cluster of 5 nodes whose store takes 0 seconds an answer
-    And its store loses 0.35 of the answers to appends, and does those <late> seconds later
+    And its store loses the answers to 0.35 of the appends, and carries these out <late> seconds late
     When jobs are handed in there for 6 seconds
-    Then the shard had no more than 1 holder
-    And 85 of 100 jobs there were accepted within 0.2 seconds
+    Then the shard had at most 1 holder
+    And at least 85 percent of the submitted jobs were accepted within 0.2 seconds
 
     Examples:
       | late |
       | 0    |
       | 2    |
 
-  Scenario Outline: A job waits for one answer of the store, and hardly for those before it: <slow>
+  Scenario Outline: Pipelined appends accept a job after about one answer of the store: <slow>
     Given a cluster of 5 nodes whose store takes <slow> seconds an answer
     When jobs are handed in there for 6 seconds
     Then the jobs of the last 5 seconds were accepted within <mean> seconds on average
@@ -52,30 +52,30 @@
       | 0.21 | 0.26 |
       | 0.42 | 0.52 |
 
-  Scenario: An append that overtakes the one before it is sent again, and the shard is kept
-    Given a holder's commits to a store that took 0.2 seconds for its latest answer
-    When two appends are on their way
-    And the store turns the second one away as out of sequence
-    Then the shard is still held
-    When the store acknowledges the first one
-    Then the second one is sent again
+  Scenario: An append that overtakes the previous append is sent again, and the shard is kept
+    Given a commit queue whose latest call to the store took 0.2 seconds
+    When the queue sends two appends
+    And the store rejects the second append as out of sequence
+    Then the queue reports that the shard is still held
+    When the store acknowledges the first append
+    Then the second append is sent again
 
-  Scenario: An append that is out of sequence though it was next ends the holding
-    Given a holder's commits to a store that took 0.2 seconds for its latest answer
-    When two appends are on their way
-    And the store acknowledges the first one
-    And the second one is sent again, and turned away as out of sequence
-    Then the shard is held no more
+  Scenario: The shard is lost if the next expected append is rejected as out of sequence
+    Given a commit queue whose latest call to the store took 0.2 seconds
+    When the queue sends two appends
+    And the store acknowledges the first append
+    And the second append is sent again and rejected as out of sequence
+    Then the queue reports that the shard is lost
 
-  Scenario: The answer to a later append vouches for those before it
-    Given a holder's commits to a store that took 0.2 seconds for its latest answer
-    When two appends are on their way
-    And the store acknowledges the second one
-    Then the effects of both are had, in their order
+  Scenario: The answer to an append also acknowledges all earlier appends
+    Given a commit queue whose latest call to the store took 0.2 seconds
+    When the queue sends two appends
+    And the store acknowledges the second append
+    Then the effects of both appends have run in order
 
-  Scenario: What a record says has its effect with its own append, not with the one before it
-    Given a holder's commits to a store that took 0.2 seconds for its latest answer
-    When two appends are on their way, whose effects come with their records
-    And the store acknowledges the first one
-    And the store acknowledges the second one
-    Then the effects of both are had, in their order
+  Scenario: The effect of a record runs with its own append, not with the previous append
+    Given a commit queue whose latest call to the store took 0.2 seconds
+    When the queue sends two appends whose effects are registered while records are collected
+    And the store acknowledges the first append
+    And the store acknowledges the second append
+    Then the effects of both appends have run in order
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -22,7 +22,7 @@
 OWN = NodeIdentity(life="own.1", host="own", port=1)
 HOLDER = NodeIdentity(life="holder.1", host="holder", port=1)
 OTHER = NodeIdentity(life="other.1", host="other", port=1)
-END = 100
+PARTITION_END = 100
 TICK_SECONDS = 0.02
 
 
@@ -30,12 +30,12 @@
     return ClaimRecord(life=node.life, host=node.host, port=node.port, token=token)
 
 
-@given("a follower that comes {place:d}th among those who could take over")
+@given("a follower that is successor number {place:d}")
 def _follower(context: Any, place: int) -> None:
     context.now = 10.0
     election = context.election = Election(0, OWN, lambda: 0.5, 0.0)
     election.start(context.now)
-    election.handle_claim_read(True, _claim_of(HOLDER, 7), END, context.now)
+    election.handle_claim_read(True, _claim_of(HOLDER, 7), PARTITION_END, context.now)
     election.handle_peer_status(HOLDER, _claim_of(HOLDER, 7), context.now)
     earlier = [NodeIdentity(f"a{number:04}", f"a{number}", 1) for number in range(place - 1)]
     election.set_members([*earlier, OWN])
@@ -43,15 +43,15 @@
     context.actions = election.take_actions()
 
 
-@when("its holder lets go")
-def _lets_go(context: Any) -> None:
+@when("its holder gives up the shard")
+def _holder_gives_up(context: Any) -> None:
     context.election.handle_peer_status(HOLDER, None, context.now)
-    context.election.handle_claim_read(True, _claim_of(HOLDER, 7), END, context.now)
+    context.election.handle_claim_read(True, _claim_of(HOLDER, 7), PARTITION_END, context.now)
     context.actions = context.election.take_actions()
 
 
 @when("{seconds:g} seconds pass for the node")
-def _pass(context: Any, seconds: float) -> None:
+def _pass_time(context: Any, seconds: float) -> None:
     until = context.now + seconds
     context.actions = []
     while context.now < until:
@@ -60,78 +60,78 @@
         context.actions += context.election.take_actions()
 
 
-@when("the claim that it reads is another node's")
-def _another_claims(context: Any) -> None:
-    claim = _claim_of(OTHER, END + 1)
+@when("it reads a newer claim of another node")
+def _reads_newer_claim(context: Any) -> None:
+    claim = _claim_of(OTHER, PARTITION_END + 1)
     context.expected = OTHER
-    context.election.handle_claim_read(True, claim, END + 1, context.now)
+    context.election.handle_claim_read(True, claim, PARTITION_END + 1, context.now)
     context.actions = context.election.take_actions()
 
 
-@when("the partition that it reads has grown")
-def _has_grown(context: Any) -> None:
+@when("it reads the same claim and a later end of the partition")
+def _reads_later_end(context: Any) -> None:
     context.expected = HOLDER
-    context.election.handle_claim_read(True, _claim_of(HOLDER, 7), END + 3, context.now)
+    context.election.handle_claim_read(True, _claim_of(HOLDER, 7), PARTITION_END + 3, context.now)
     context.actions = context.election.take_actions()
 
 
-@when("another node tells that it holds the shard")
-def _told(context: Any) -> None:
+@when("another node reports that it holds the shard")
+def _another_node_reports_holding(context: Any) -> None:
     context.expected = OTHER
-    context.election.handle_peer_status(OTHER, _claim_of(OTHER, END + 1), context.now)
+    context.election.handle_peer_status(OTHER, _claim_of(OTHER, PARTITION_END + 1), context.now)
     context.actions = context.election.take_actions()
 
 
-@when("that node says nothing of a claim")
-def _says_nothing(context: Any) -> None:
+@when("that node reports no claim")
+def _reports_no_claim(context: Any) -> None:
     context.election.handle_peer_status(OTHER, None, context.now)
     if ReadClaim() in context.election.take_actions():
-        # It was taken for letting go: the store still has its claim.
-        claim = _claim_of(OTHER, END + 1)
-        context.election.handle_claim_read(True, claim, END + 1, context.now)
+        # The node took the status for a release of the shard; the store still has the claim.
+        claim = _claim_of(OTHER, PARTITION_END + 1)
+        context.election.handle_claim_read(True, claim, PARTITION_END + 1, context.now)
 
 
-@when("that node says nothing of a claim for {seconds:g} seconds")
-def _says_nothing_for(context: Any, seconds: float) -> None:
+@when("that node still reports no claim after {seconds:g} seconds")
+def _still_reports_no_claim(context: Any, seconds: float) -> None:
     context.now += seconds
     context.election.handle_peer_status(OTHER, None, context.now)
     context.actions = context.election.take_actions()
 
 
-@then("it does not claim")
-def _does_not_claim(context: Any) -> None:
+@then("it does not claim the shard")
+def _does_not_claim_shard(context: Any) -> None:
     assert not any(isinstance(action, SendClaim) for action in context.actions), context.actions
 
 
 @then("it waits for its turn")
-def _waits(context: Any) -> None:
+def _waits_for_turn(context: Any) -> None:
     assert context.election.state is ElectionState.WAITING_TURN
 
 
 @then("it reads the claim")
-def _reads(context: Any) -> None:
+def _reads_claim(context: Any) -> None:
     assert ReadClaim() in context.actions
 
 
 @then("it connects to that node")
-def _connects(context: Any) -> None:
+def _connects_to_node(context: Any) -> None:
     node = context.expected
     assert ConnectToHolder(node.host, node.port) in context.actions, context.actions
 
 
-@then("it claims")
-def _claims(context: Any) -> None:
+@then("it claims the shard")
+def _claims_shard(context: Any) -> None:
     assert any(isinstance(action, SendClaim) for action in context.actions)
 
 
 @then("it follows that node")
-def _follows(context: Any) -> None:
+def _follows_node(context: Any) -> None:
     assert context.election.state is ElectionState.FOLLOWING
     assert context.election.claim.life == context.expected.life
 
 
-@then("calls go to that node from now on")
-def _calls_go(context: Any) -> None:
+@then("it reports that node as the new holder")
+def _reports_new_holder(context: Any) -> None:
     changes = [item for item in context.actions if isinstance(item, HolderChanged)]
     assert changes
     assert changes[-1].claim is not None
@@ -146,45 +146,47 @@
 
 
 @when("the holder of the cluster is killed")
-def _kill(context: Any) -> None:
+def _kill_holder(context: Any) -> None:
     context.killed = context.cluster.holder().name
     context.cluster.kill_node(context.killed)
 
 
 @when("{seconds:g} seconds pass in that cluster")
-def _pass_in_cluster(context: Any, seconds: float) -> None:
+def _pass_time_in_cluster(context: Any, seconds: float) -> None:
     context.cluster.run(seconds)
 
 
-@then("every other node of it is ready")
-def _all_ready(context: Any) -> None:
+@then("every other node of the cluster is ready")
+def _other_nodes_ready(context: Any) -> None:
     nodes = [node for name, node in context.cluster.nodes.items() if name != context.killed]
-    late = [node.name for node in nodes if not node.node.is_ready]
-    assert not late, late
+    not_ready = [node.name for node in nodes if not node.node.is_ready]
+    assert not not_ready, not_ready
 
 
-@given("a node that nobody named and that takes the holder for lost")
-def _unnamed(context: Any) -> None:
+@given("a node that is not a successor and whose connection to the holder was refused")
+def _node_without_turn(context: Any) -> None:
     context.now = 10.0
     election = context.election = Election(0, OWN, lambda: 0.5, 0.0)
     election.start(context.now)
-    election.handle_claim_read(True, _claim_of(HOLDER, 7), END, context.now)
+    election.handle_claim_read(True, _claim_of(HOLDER, 7), PARTITION_END, context.now)
     election.handle_peer_status(HOLDER, _claim_of(HOLDER, 7), context.now)
     election.handle_peer_lost(HOLDER.host, LossReason.REFUSED, context.now)
     context.actions = []
 
 
-@when("{seconds:g} seconds pass for it, each look being answered after {delay:g} seconds")
-def _pass_with_looks(context: Any, seconds: float, delay: float) -> None:
+@when("{seconds:g} seconds pass for the node, and each read is answered after {delay:g} seconds")
+def _pass_time_with_reads(context: Any, seconds: float, delay: float) -> None:
     election = context.election
     until = context.now + seconds
-    answers = []
+    read_answer_times = []
     while context.now < until:
         context.now += TICK_SECONDS
         election.tick(context.now)
         actions = election.take_actions()
         context.actions += actions
-        answers += [context.now + delay for action in actions if isinstance(action, ReadClaim)]
-        if answers and answers[0] <= context.now:
-            answers.pop(0)
-            election.handle_claim_read(True, _claim_of(HOLDER, 7), END, context.now)
+        read_answer_times += [
+            context.now + delay for action in actions if isinstance(action, ReadClaim)
+        ]
+        if read_answer_times and read_answer_times[0] <= context.now:
+            read_answer_times.pop(0)
+            election.handle_claim_read(True, _claim_of(HOLDER, 7), PARTITION_END, context.now)
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the division of a cell into shards."""
+"""Steps about the layout of a cell, and about cells with several shards."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 QUEUE = "normal"
 SETTLE_SECONDS = 2.0
-CLOSE_SECONDS = 0.01
+TOLERANCE_SECONDS = 0.01
 
 
-def _record(number: int, rack: str) -> WorkerRecord:
+def _worker_record(number: int, rack: str) -> WorkerRecord:
     return WorkerRecord(
         worker_id=f"w{number}",
         host=f"h{number}",
@@ -39,37 +39,37 @@
 @given("{count:d} workers in racks of {size:d} over {rows:d} rows")
 def _workers(context: Any, count: int, size: int, rows: int) -> None:
     racks = [f"r{number // size % rows}-{number // size // rows}" for number in range(count)]
-    context.workers = [_record(number, rack) for number, rack in enumerate(racks)]
+    context.workers = [_worker_record(number, rack) for number, rack in enumerate(racks)]
 
 
-@when("the cell is laid out with {size:d} workers a shard and {most:d} shards at most")
-def _lay_out(context: Any, size: int, most: int) -> None:
+@when("the layout is planned for {size:d} workers per shard and at most {most:d} shards")
+def _plan_layout(context: Any, size: int, most: int) -> None:
     context.layout = plan_layout(context.workers, size, most)
 
 
-@then("it has {count:d} shards")
-def _shards(context: Any, count: int) -> None:
+@then("the layout has {count:d} shards")
+def _layout_has_shards(context: Any, count: int) -> None:
     assert context.layout.shard_count == count, context.layout
 
 
-@then("no shard has less than half of an even part of the workers")
-def _even(context: Any) -> None:
+@then("each shard has at least half of the average number of workers per shard")
+def _shards_are_balanced(context: Any) -> None:
     layout = context.layout
     sizes = Counter(layout.shard_of_worker(worker) for worker in context.workers)
-    even = len(context.workers) / layout.shard_count
-    assert all(sizes[shard] >= even / 2 for shard in layout.shards()), sizes
+    average_size = len(context.workers) / layout.shard_count
+    assert all(sizes[shard] >= average_size / 2 for shard in layout.shards()), sizes
 
 
-@then("the workers of a rack share a shard")
-def _racks(context: Any) -> None:
+@then("all workers of a rack belong to one shard")
+def _racks_share_shard(context: Any) -> None:
     shards: dict[str, set[int]] = {}
     for worker in context.workers:
         shards.setdefault(worker.rack, set()).add(context.layout.shard_of_worker(worker))
     assert all(len(found) == 1 for found in shards.values())
 
 
-@then("of {count:d} jobs each shard gets between {low:d} and {high:d}")
-def _jobs(context: Any, count: int, low: int, high: int) -> None:
+@then("each shard gets between {low:d} and {high:d} of {count:d} jobs")
+def _jobs_are_balanced(context: Any, count: int, low: int, high: int) -> None:
     sizes = Counter(context.layout.shard_of_job(f"{number:016x}") for number in range(count))
     assert all(low <= size <= high for size in sizes.values()), sizes
 
@@ -82,14 +82,14 @@
     context.cluster.run(SETTLE_SECONDS)
 
 
-@then("every node knows {count:d} shards")
-def _knows(context: Any, count: int) -> None:
+@then("every node has a layout of {count:d} shards")
+def _nodes_know_layout(context: Any, count: int) -> None:
     layouts = [node.node.layout for node in context.cluster.nodes.values()]
     assert all(layout and layout.shard_count == count for layout in layouts), layouts
 
 
-@when("all its nodes are killed and start again")
-def _kill_all(context: Any) -> None:
+@when("all nodes of the cluster are killed and restarted")
+def _restart_all_nodes(context: Any) -> None:
     names = list(context.cluster.nodes)
     for name in names:
         context.cluster.kill_node(name)
@@ -98,20 +98,20 @@
     context.cluster.run(SETTLE_SECONDS)
 
 
-@then("each shard has one holder, and {count:d} nodes at least hold one")
-def _one_holder(context: Any, count: int) -> None:
+@then("each shard has one holder, and at least {count:d} nodes hold a shard")
+def _each_shard_has_holder(context: Any, count: int) -> None:
     holders = [
         (shard, node.name)
         for node in context.cluster.nodes.values()
-        for shard, seat in node.node.seats.items()
-        if seat.is_holding
+        for shard, participant in node.node.seats.items()
+        if participant.is_holding
     ]
     assert sorted(shard for shard, _name in holders) == [0, 1, 2], holders
     assert len({name for _shard, name in holders}) >= count, holders
 
 
-@given("no worker of it can be reached")
-def _cut_workers(context: Any) -> None:
+@given("no node can reach a worker")
+def _disconnect_workers(context: Any) -> None:
     cluster = context.cluster
     for node in cluster.nodes.values():
         cluster.cut(node.host, list(cluster.pool.workers))
@@ -124,8 +124,8 @@
     return JobSpec(job_id=f"{number:016x}", queue=queue, payload="p", steps=(step,))
 
 
-@when("{count:d} jobs are handed in there")
-def _hand_in(context: Any, count: int) -> None:
+@when("{count:d} jobs are submitted to one node")
+def _submit_jobs(context: Any, count: int) -> None:
     cluster = context.cluster
     replies: list[CallReply | None] = []
     node = next(iter(cluster.nodes.values()))
@@ -138,8 +138,8 @@
     assert [reply.code for reply in replies if reply] == [ReplyCode.OK] * count, replies
 
 
-@then("{count:d} jobs wait, whichever node is asked")
-def _waiting(context: Any, count: int) -> None:
+@then("every node reports {count:d} waiting jobs")
+def _nodes_report_waiting(context: Any, count: int) -> None:
     cluster = context.cluster
     for node in cluster.nodes.values():
         replies: list[CallReply | None] = []
@@ -149,8 +149,8 @@
         assert replies[0].waiting == count, replies
 
 
-@when("a node that does not know the layout is asked to take a job")
-def _ask_without_layout(context: Any) -> None:
+@when("a job is submitted to a node that does not know the layout")
+def _submit_without_layout(context: Any) -> None:
     node = next(iter(context.cluster.nodes.values()))
     node.node.layout = None
     job = _make_job(context, 1)
@@ -159,24 +159,27 @@
     context.not_ready = not node.node.is_ready
 
 
-@then("it refuses, and says when to come back")
-def _refuses(context: Any) -> None:
+@then("the node is not ready, and refuses the job with a retry time")
+def _refuses_job(context: Any) -> None:
     reply = context.replies[0]
     assert reply.code is ReplyCode.REFUSED, reply
     assert reply.retry_after_seconds > 0
     assert context.not_ready
 
 
-@when("the holder of one of them loses its power")
-def _power_off(context: Any) -> None:
+@when("a node that holds one shard loses power")
+def _power_off_holder(context: Any) -> None:
     nodes = context.cluster.nodes.values()
-    held = {node.name: sum(seat.is_holding for seat in node.node.seats.values()) for node in nodes}
+    held = {
+        node.name: sum(participant.is_holding for participant in node.node.seats.values())
+        for node in nodes
+    }
     context.lost = next(name for name, count in held.items() if count == 1)
     context.cluster.power_off_node(context.lost)
 
 
-@when("{seconds:g} seconds pass there")
-def _pass(context: Any, seconds: float) -> None:
+@when("{seconds:g} seconds pass for the other nodes")
+def _pass_time(context: Any, seconds: float) -> None:
     context.cluster.run(seconds)
 
 
@@ -186,13 +189,13 @@
     assert all(node.node.is_ready for node in nodes)
 
 
-@when("jobs are played over seeds {first:d} to {last:d} with drawn faults, in three shards")
-def _play(context: Any, first: int, last: int) -> None:
+@when("jobs are simulated in three shards with random faults, for seeds {first:d} to {last:d}")
+def _simulate_seeds(context: Any, first: int, last: int) -> None:
     context.job_reports = [play(seed, shards=3) for seed in range(first, last + 1)]
 
 
-@given("{small:d} small nodes and {large:d} large ones that could take over")
-def _links(context: Any, small: int, large: int) -> None:
+@given("{small:d} small and {large:d} large candidate successors")
+def _candidate_successors(context: Any, small: int, large: int) -> None:
     weights = [0.5] * small + [2.0] * large
     context.links = []
     for number, weight in enumerate(weights):
@@ -201,8 +204,8 @@
         context.links.append(link)
 
 
-@then("the successors in each of {shards:d} shards are {count:d}, the large ones first")
-def _successors(context: Any, shards: int, count: int) -> None:
+@then("each of {shards:d} shards has {count:d} successors, in order of decreasing weight")
+def _choose_successors(context: Any, shards: int, count: int) -> None:
     context.first = set()
     for shard in range(shards):
         chosen = choose_successors(shard, context.links)
@@ -212,8 +215,8 @@
         context.first.add(chosen[0].life)
 
 
-@then("at least {count:d} nodes come first in some shard")
-def _first_differ(context: Any, count: int) -> None:
+@then("at least {count:d} different nodes are the first successor of some shard")
+def _first_successors_differ(context: Any, count: int) -> None:
     assert len(context.first) >= count, context.first
 
 
@@ -222,58 +225,60 @@
     _cluster(context)
     nodes = context.cluster.nodes.values()
     follower = next(
-        node for node in nodes if not any(seat.is_holding for seat in node.node.seats.values())
+        node
+        for node in nodes
+        if not any(participant.is_holding for participant in node.node.seats.values())
     )
     link = PeerLink("h", is_outgoing=True)
     follower.node.handle_peer_message(link, Members(0, [], count))
     context.follower = follower
 
 
-@then("it sends a heartbeat each {seconds:g} seconds")
-def _interval(context: Any, seconds: float) -> None:
-    # The holders of the cluster go on telling their own count.
+@then("it sends a heartbeat every {seconds:g} seconds")
+def _heartbeat_interval(context: Any, seconds: float) -> None:
+    # Read the interval now: the cluster's holders keep sending their own node count.
     context.interval = context.follower.node.heartbeat_interval()
-    assert abs(context.interval - seconds) < CLOSE_SECONDS, context.interval
+    assert abs(context.interval - seconds) < TOLERANCE_SECONDS, context.interval
 
 
-@then("its stream is ended after {seconds:g} seconds of silence")
-def _silence(context: Any, seconds: float) -> None:
+@then("its peers close the connection after {seconds:g} seconds of silence")
+def _silence_timeout(context: Any, seconds: float) -> None:
     link = PeerLink("h", is_outgoing=False)
     link.note_interval(context.interval)
-    assert abs(link.silence_seconds - seconds) < CLOSE_SECONDS, link.silence_seconds
+    assert abs(link.silence_seconds - seconds) < TOLERANCE_SECONDS, link.silence_seconds
 
 
-def _holdings(context: Any) -> dict[int, tuple[str, int]]:
+def _shard_holders(context: Any) -> dict[int, tuple[str, int]]:
     """Return the holder and the token of each shard."""
     return {
-        shard: (node.name, seat.scheduler.context.token)
+        shard: (node.name, participant.scheduler.context.token)
         for node in context.cluster.nodes.values()
-        for shard, seat in node.node.seats.items()
-        if seat.is_holding and seat.scheduler is not None
+        for shard, participant in node.node.seats.items()
+        if participant.is_holding and participant.scheduler is not None
     }
 
 
-@given("a cell of three shards that are all held")
+@given("a cell in which each of three shards has a holder")
 def _three_shards(context: Any) -> None:
     context.cluster = JobCluster(make_options(11, WorkOptions(seed=11), 3))
     context.cluster.start()
     context.cluster.run(SETTLE_SECONDS)
-    context.holdings = _holdings(context)
+    context.holdings = _shard_holders(context)
     assert len(context.holdings) == 3, context.holdings
 
 
-@when("every seat of every node is started again")
-def _start_again(context: Any) -> None:
+@when("every shard participant of every node is restarted")
+def _restart_participants(context: Any) -> None:
     for node in context.cluster.nodes.values():
-        for seat in node.node.seats.values():
-            node.process.run(seat.start)
+        for participant in node.node.seats.values():
+            node.process.run(participant.start)
 
 
-@then("each shard has the holder and the token that it had")
-def _same(context: Any) -> None:
-    assert _holdings(context) == context.holdings, (_holdings(context), context.holdings)
+@then("each shard has the same holder and token as before")
+def _same_holders(context: Any) -> None:
+    assert _shard_holders(context) == context.holdings, (_shard_holders(context), context.holdings)
 
 
-@when("jobs are played over seed {seed:d} in 3 shards, with crashes and changing workers")
-def _play_shards(context: Any, seed: int) -> None:
+@when("jobs are simulated in 3 shards for seed {seed:d}, with crashes and changing workers")
+def _simulate_seed(context: Any, seed: int) -> None:
     context.job_reports = [play(seed, shards=3, with_crashes=True)]
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -12,39 +12,39 @@
 from onyxspoke.kit.jobs.worker_orders import FakeWorkerOrders
 from onyxspoke.net.reactor_clock import SuspensionWatch
 
-CLOSE_SECONDS = 0.001
+TOLERANCE_SECONDS = 0.001
 
 
-@given("a boot clock at {boot:g} and a steady clock at {steady:g}")
-def _clocks(context: Any, boot: float, steady: float) -> None:
-    context.boot, context.steady = boot, steady
-    context.watch = SuspensionWatch(lambda: context.boot, lambda: context.steady)
+@given("a boot clock at {boot:g} and a monotonic clock at {monotonic:g}")
+def _clocks(context: Any, boot: float, monotonic: float) -> None:
+    context.boot, context.monotonic = boot, monotonic
+    context.watch = SuspensionWatch(lambda: context.boot, lambda: context.monotonic)
 
 
-@when("the machine works for {seconds:g} seconds")
-def _works(context: Any, seconds: float) -> None:
+@when("the machine runs for {seconds:g} seconds")
+def _machine_runs(context: Any, seconds: float) -> None:
     context.boot += seconds
-    context.steady += seconds
+    context.monotonic += seconds
 
 
 @when("the machine is suspended for {seconds:g} seconds")
-def _suspended(context: Any, seconds: float) -> None:
+def _machine_is_suspended(context: Any, seconds: float) -> None:
     context.boot += seconds
 
 
-@then("no suspension is told")
-def _none(context: Any) -> None:
+@then("no suspension is reported")
+def _no_suspension(context: Any) -> None:
     assert context.watch.take_suspended_seconds() == 0.0
 
 
-@then("a suspension of {seconds:g} seconds is told, once")
-def _told(context: Any, seconds: float) -> None:
-    assert abs(context.watch.take_suspended_seconds() - seconds) < CLOSE_SECONDS
+@then("a suspension of {seconds:g} seconds is reported once")
+def _suspension_reported(context: Any, seconds: float) -> None:
+    assert abs(context.watch.take_suspended_seconds() - seconds) < TOLERANCE_SECONDS
     assert context.watch.take_suspended_seconds() == 0.0
 
 
-@given("the starts that its holder orders are noted")
-def _noted(context: Any) -> None:
+@given("the test records the start orders of the cell's holder")
+def _record_starts(context: Any) -> None:
     cluster = context.cluster
     holder = context.holder = cluster.holder()
     context.starts = []
@@ -64,36 +64,36 @@
 
 @when(
     "the holder's machine is suspended for {seconds:g} seconds,"
-    " with starts on their way to the store"
+    " while an append that records starts is in flight"
 )
-def _suspend(context: Any, seconds: float) -> None:
+def _suspend_holder(context: Any, seconds: float) -> None:
     cluster = context.cluster
-    book = context.holder.node.seats[0].scheduler.context
+    shard_context = context.holder.node.seats[0].scheduler.context
     while not any(
         run.state is RunState.PLANNED
-        for worker in book.table.workers.values()
+        for worker in shard_context.table.workers.values()
         for run in worker.runs.values()
     ):
         cluster.run(0.01)
     context.holder.process.pause()
     cluster.run(seconds)
-    context.woken_at = cluster.time.now()
+    context.resumed_at = cluster.time.now()
     context.holder.process.resume()
 
 
-@then("every start after it was ordered on a proof from after it")
-def _proved(context: Any) -> None:
-    after = [
+@then("every start order after the suspension was sent after a new proof of ownership")
+def _starts_follow_proof(context: Any) -> None:
+    starts_after_resume = [
         (moment, proof_at)
         for moment, token, proof_at in context.starts
-        if moment >= context.woken_at and token == context.token
+        if moment >= context.resumed_at and token == context.token
     ]
-    early = [item for item in after if item[1] < context.woken_at]
-    assert not early, early
+    unproven_starts = [item for item in starts_after_resume if item[1] < context.resumed_at]
+    assert not unproven_starts, unproven_starts
 
 
-@when("every machine is suspended for {shortest:d} to {longest:d} seconds, one after the other")
-def _each(context: Any, shortest: int, longest: int) -> None:
+@when("each machine in turn is suspended for {shortest:d} to {longest:d} seconds")
+def _suspend_each_machine(context: Any, shortest: int, longest: int) -> None:
     cluster = context.cluster
     for number, name in enumerate(list(cluster.nodes)):
         process = cluster.nodes[name].process
