--- a/src/onyxspoke/core/shard/call_desk.py
+++ b/src/onyxspoke/core/shard/call_desk.py
@@ -222,9 +222,9 @@
             return
         self._awaiting_store[call_id] = pending
 
-        def confirm(moment: float) -> None:
+        def confirm(acknowledged_at: float) -> None:
             self._awaiting_store.pop(call_id, None)
-            pending.confirm(reply)(moment)
+            pending.confirm(reply)(acknowledged_at)
 
         register_effect(confirm)
 
--- a/src/onyxspoke/core/shard/commit.py
+++ b/src/onyxspoke/core/shard/commit.py
@@ -127,7 +127,7 @@
         """Return the append that is to be sent now, or ``None``."""
         for batch in self._unacknowledged:
             if batch.retry_at is not None and now >= batch.retry_at:
-                return self._retry(batch, now)
+                return self._retry_append(batch, now)
         if self._unacknowledged and self._is_duplicate_due(self._unacknowledged[0], now):
             return self._send_duplicate(self._unacknowledged[0], now)
         if now < self._next_new_append_at():
@@ -204,7 +204,7 @@
         return now - max(self._last_sent_at, self.proof_at) >= CLAIM_RENEWAL_SECONDS
 
     def _next_new_append_at(self) -> float:
-        """Return when the next new append may be sent; infinity while it must wait for answers."""
+        """Return when the next new append may be sent; infinity while it waits for an answer."""
         if not self._unacknowledged:
             return self._last_sent_at + self.interval_seconds
         if (
@@ -262,7 +262,7 @@
         for effect in effects:
             effect(now)
 
-    def _retry(self, batch: _Batch, now: float) -> ShardAppend:
+    def _retry_append(self, batch: _Batch, now: float) -> ShardAppend:
         batch.retry_at = None
         batch.attempts += 1
         batch.duplicates = 0
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -139,9 +139,9 @@
         """Start to look for the holder."""
         self._start_reading(now, "started")
 
-    def rest_until(self, moment: float) -> None:
+    def rest_until(self, deferred_until: float) -> None:
         """Do not claim the shard before a given time, so that other nodes take over."""
-        self._claims_deferred_until = moment
+        self._claims_deferred_until = deferred_until
 
     def set_members(self, members: list[NodeIdentity]) -> None:
         """Set the successors that the holder has named, in the order of their turns."""
@@ -161,19 +161,19 @@
         if not is_answered:
             self._due_at = now + self._poll_interval_seconds(READ_RETRY_SECONDS)
             return
-        has_moved = end != self._partition_end
+        has_end_moved = end != self._partition_end
         self._partition_end = end
-        if has_moved:
+        if has_end_moved:
             self._end_moved_at = now
         if self._is_newer(claim):
             self._adopt_claim(claim, now)
         elif self.state is ElectionState.WATCHING:
             self._continue_watching(now)
-        elif self.state is ElectionState.WAITING_TURN and has_moved:
+        elif self.state is ElectionState.WAITING_TURN and has_end_moved:
             self._suspects_holder_dead = False
-            self._connect(now, "holder_writes")
+            self._connect_to_holder(now, "holder_writes")
         elif self.state is ElectionState.READING:
-            self._decide(now)
+            self._choose_next_state(now)
 
     def handle_peer_status(
         self,
@@ -195,7 +195,7 @@
             self._heartbeat_timeout_seconds = max(
                 HEARTBEAT_TIMEOUT_SECONDS, HEARTBEAT_TIMEOUT_INTERVALS * interval_seconds
             )
-            self._follow(now, known)
+            self._follow_holder(now, known)
         elif self.state in _HOLDER_MONITORING_STATES:
             if peer.life != known.life:
                 self._holder_dead_since = now
@@ -215,9 +215,9 @@
             self._suspects_holder_dead = True
             self._start_reading(now, "holder_refuses")
         elif reason is LossReason.CLOSED and self.state is ElectionState.FOLLOWING:
-            self._connect(now, "stream_closed")
+            self._connect_to_holder(now, "stream_closed")
         elif self.state is not ElectionState.WATCHING:
-            self._watch(now, "holder_silent")
+            self._watch_holder(now, "holder_silent")
 
     def handle_append_result(self, result: AppendResult, now: float) -> None:
         """Handle the store's answer to the claim, or its absence."""
@@ -244,7 +244,7 @@
         return self.claim is not None and self.claim.host == host
 
     def is_quiet(self, now: float) -> bool:
-        """Return whether this node follows a holder whose heartbeats arrive in time."""
+        """Return whether this node follows a holder and its latest heartbeat is recent enough."""
         return (
             self.state is ElectionState.FOLLOWING
             and now - self._last_heartbeat_at <= self._heartbeat_timeout_seconds
@@ -254,7 +254,7 @@
         """Act on timeouts that have expired."""
         if self.state is ElectionState.FOLLOWING:
             if now - self._last_heartbeat_at > self._heartbeat_timeout_seconds:
-                self._watch(now, "heartbeat_missing")
+                self._watch_holder(now, "heartbeat_missing")
             return
         if now < self._due_at:
             self._poll_while_waiting(now)
@@ -264,7 +264,7 @@
         elif self.state is ElectionState.WATCHING:
             self._poll_holder(now)
         elif self.state is ElectionState.CONNECTING:
-            self._watch(now, "connecting_takes_long")
+            self._watch_holder(now, "connecting_takes_long")
         elif self.state is ElectionState.WAITING_TURN:
             self._claim_or_poll(now)
         elif self.state is ElectionState.CLAIMING and self._pending_append is not None:
@@ -284,7 +284,7 @@
             if not self._is_read_pending:
                 self._send_read(now)
         else:
-            self._claim(now)
+            self._claim_shard(now)
 
     def _poll_while_waiting(self, now: float) -> None:
         """Read the claim if it is time to check whether a node with an earlier turn has claimed."""
@@ -317,7 +317,7 @@
                 self._holder_dead_since = self._started_at
             self._wait_for_turn(now, 0.0, "own_earlier_claim")
         else:
-            self._connect(now, "claim_read")
+            self._connect_to_holder(now, "claim_read")
 
     def _adopt_reported_claim(self, peer: NodeIdentity, claim: ClaimRecord, now: float) -> None:
         self.claim = claim
@@ -325,21 +325,21 @@
         self._holder_dead_since = None
         self._suspects_holder_dead = False
         if claim.life != peer.life:
-            self._connect(now, "claim_told")
+            self._connect_to_holder(now, "claim_told")
             return
         if self.state is ElectionState.FOLLOWING:
             # This node followed another holder until now.
             self.actions.append(HolderChanged(claim))
-        self._follow(now, claim)
+        self._follow_holder(now, claim)
 
-    def _follow(self, now: float, claim: ClaimRecord) -> None:
+    def _follow_holder(self, now: float, claim: ClaimRecord) -> None:
         self._last_heartbeat_at = now
         self._claim_unconfirmed_since = -math.inf
         if self.state is not ElectionState.FOLLOWING:
             self._change_state(ElectionState.FOLLOWING, now, "holder_answers")
             self.actions.append(HolderChanged(claim))
 
-    def _decide(self, now: float) -> None:
+    def _choose_next_state(self, now: float) -> None:
         """Choose the next state after a read that returned no newer claim."""
         claim = self.claim
         if claim is None:
@@ -349,7 +349,7 @@
         elif self._suspects_holder_dead:
             self._wait_for_turn(now, self._turn_delay_seconds(claim), "holder_gone")
         else:
-            self._connect(now, "claim_unchanged")
+            self._connect_to_holder(now, "claim_unchanged")
 
     def _continue_watching(self, now: float) -> None:
         if now - self._end_moved_at >= IDLE_PARTITION_SECONDS:
@@ -370,24 +370,27 @@
 
     def _turn_delay_seconds(self, claim: ClaimRecord) -> float:
         """Return the delay before this node claims, so that nodes with earlier turns go first."""
-        candidates = [member.host for member in self.members if member.host != claim.host]
-        if self._identity.host in candidates:
+        candidate_hosts = [member.host for member in self.members if member.host != claim.host]
+        if self._identity.host in candidate_hosts:
             return min(
-                candidates.index(self._identity.host) * TURN_INTERVAL_SECONDS,
+                candidate_hosts.index(self._identity.host) * TURN_INTERVAL_SECONDS,
                 MAXIMUM_TURN_DELAY_SECONDS,
             )
         delay = min(
-            (len(candidates) + self._random_fraction()) * TURN_INTERVAL_SECONDS,
+            (len(candidate_hosts) + self._random_fraction()) * TURN_INTERVAL_SECONDS,
             MAXIMUM_TURN_DELAY_SECONDS,
         )
         return delay + self._random_fraction() * self._pacing.poll_interval_seconds
 
     def _first_turn_delay_seconds(self) -> float:
         """Return the delay before this node claims a shard that no node has ever held."""
-        hosts = [member.host for member in self.members]
-        if self._identity.host in hosts:
-            return self._handicap() + hosts.index(self._identity.host) * TURN_INTERVAL_SECONDS
-        delay = MAXIMUM_TURN_DELAY_SECONDS if hosts else self._handicap()
+        successor_hosts = [member.host for member in self.members]
+        if self._identity.host in successor_hosts:
+            return (
+                self._handicap()
+                + successor_hosts.index(self._identity.host) * TURN_INTERVAL_SECONDS
+            )
+        delay = MAXIMUM_TURN_DELAY_SECONDS if successor_hosts else self._handicap()
         if self._identity.weight < 1.0:
             delay += SMALL_NODE_DELAY_SECONDS
         return delay + self._random_fraction() * max(
@@ -413,7 +416,7 @@
         self._last_read_at = now
         self.actions.append(ReadClaim())
 
-    def _connect(self, now: float, reason: str) -> None:
+    def _connect_to_holder(self, now: float, reason: str) -> None:
         claim = self.claim
         assert claim is not None
         self._change_state(ElectionState.CONNECTING, now, reason)
@@ -421,7 +424,7 @@
         self.actions.append(HolderChanged(None))
         self.actions.append(ConnectToHolder(claim.host, claim.port))
 
-    def _watch(self, now: float, reason: str) -> None:
+    def _watch_holder(self, now: float, reason: str) -> None:
         self._change_state(ElectionState.WATCHING, now, reason)
         self._end_moved_at = now
         self.actions.append(HolderChanged(None))
@@ -444,9 +447,9 @@
         self._turn_load_delay_seconds = self._handicap()
         self._due_at = now + delay
         if delay <= 0:
-            self._claim(now)
+            self._claim_shard(now)
 
-    def _claim(self, now: float) -> None:
+    def _claim_shard(self, now: float) -> None:
         identity = self._identity
         token = self._partition_end + 1
         # The known claim is the latest: a newer one would have moved the end of the partition.
@@ -476,12 +479,12 @@
         assert self._pending_append is not None
         assert self._pending_claim is not None
         self.claim = self._pending_claim
-        pending, self._pending_append = self._pending_append, None
+        claim_append, self._pending_append = self._pending_append, None
         self._change_state(ElectionState.HOLDING, now, "claim_stands")
         self.actions.append(
             BecomeHolder(
                 claim=self._pending_claim,
-                next_sequence=pending.sequence + 1,
+                next_sequence=claim_append.sequence + 1,
                 claimed_at=self._claim_first_sent_at,
                 store_seconds=now - self._claim_last_sent_at,
                 former_dead_since=self._holder_dead_since,
--- a/src/onyxspoke/core/shard/journal.py
+++ b/src/onyxspoke/core/shard/journal.py
@@ -77,7 +77,7 @@
         return ShardRecord(CLAIM_KEY, encode_claim(self._claim))
 
     def collect(self, maximum_bytes: int) -> list[ShardRecord]:
-        """Return the records of changed state, and clear the marks of what is returned.
+        """Return the records of changed state, and clear the marks of the returned changes.
 
         Changed jobs that do not fit into ``maximum_bytes`` keep their marks.
         """
@@ -178,7 +178,7 @@
 def restore_records(
     context: ShardContext, register: WorkerRegister, records: list[ShardRecord], now: float
 ) -> None:
-    """Restore a new holder's state from records; unreadable ones are logged and stay stored."""
+    """Restore a new holder's state from records; log unreadable records and leave them stored."""
     layout = find_layout(records)
     if layout is not None:
         context.emit(LayoutKnown(layout))
@@ -235,11 +235,11 @@
 
 
 def _job_age_seconds(context: ShardContext, spec: JobSpec, now: float) -> float:
-    """Return for how many seconds a job has been accepted, by the time of day, within bounds."""
+    """Return the seconds since a job was accepted, limited to a plausible range."""
     if not spec.accepted_at_ms:
         return 0.0
-    age = (context.wall_ms(now) - spec.accepted_at_ms) / _MILLISECONDS
-    return min(max(0.0, age), MAXIMUM_JOB_AGE_SECONDS)
+    age_seconds = (context.wall_ms(now) - spec.accepted_at_ms) / _MILLISECONDS
+    return min(max(0.0, age_seconds), MAXIMUM_JOB_AGE_SECONDS)
 
 
 def _restore_worker(
--- a/src/onyxspoke/core/shard/layout.py
+++ b/src/onyxspoke/core/shard/layout.py
@@ -65,10 +65,10 @@
     wanted_count = min(-(-len(workers) // workers_a_shard), most_shards)
     for count in range(wanted_count, 1, -1):
         layout = CellLayout(count)
-        sizes = Counter(layout.shard_of_worker(record) for record in workers)
-        if min(sizes[shard] for shard in layout.shards()) * count >= MINIMUM_SHARD_FRACTION * len(
-            workers
-        ):
+        shard_sizes = Counter(layout.shard_of_worker(record) for record in workers)
+        if min(
+            shard_sizes[shard] for shard in layout.shards()
+        ) * count >= MINIMUM_SHARD_FRACTION * len(workers):
             return layout
     return CellLayout(1)
 
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -166,7 +166,7 @@
         return self.flush(now)
 
     def former_holder_is_dead(self, since: float) -> None:
-        """Handle the information that the previous holder's process had ended by a time."""
+        """Record that the previous holder's process had ended by a given time."""
         self.register.handle_advice_of_death(since)
 
     def set_commit_interval(self, seconds: float) -> None:
@@ -204,13 +204,13 @@
         """Handle the removal of a worker from the directory."""
         self.register.handle_unlisted(worker_id, now)
 
-    def stimulus_advisors(self, names: list[str], now: float) -> None:
+    def stimulus_advisors(self, entry_names: list[str], now: float) -> None:
         """Set the entries that can make calls to the advice service."""
-        self.context.desk.set_advisors(names, now)
+        self.context.desk.set_advisors(entry_names, now)
         self.context.wants_placement |= self.context.desk.has_moved_calls
 
     def stimulus_store_unreachable(self, until: float) -> None:
-        """Note that no node reaches the store, so that no node can claim the shard until a time."""
+        """Record that no node can claim the shard until a given time, as none reaches the store."""
         self.context.unclaimable_until = until
 
     # Results of orders, advice calls and appends
@@ -219,7 +219,7 @@
         self, address: WorkerAddress, number: int, result: HoldResult, now: float
     ) -> None:
         """Handle a worker's answer to a hold, or its absence."""
-        worker = self._find_worker(address)
+        worker = self._find_addressed_worker(address)
         if worker is not None and not self.context.is_over:
             self._record_activity(now)
             self.workers.handle_hold_result(worker, number, result, now)
@@ -228,11 +228,11 @@
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
         """Handle a worker's answer to a start order, or its absence."""
-        if self._check_fence(result):
+        if self._step_down_if_fenced(result):
             self._record_activity(now)
             if result.outcome is not OrderOutcome.NO_ANSWER:
                 self.context.table.open_starts.handle_answered(address.worker_id, run)
-            worker = self._find_worker(address)
+            worker = self._find_addressed_worker(address)
             if worker is not None:
                 self._run_starter.handle_start_result(worker, run, result, now)
                 if result.outcome is OrderOutcome.NO_ANSWER:
@@ -242,16 +242,16 @@
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
         """Handle a worker's answer to a stop order, or its absence."""
-        if self._check_fence(result):
+        if self._step_down_if_fenced(result):
             self._record_activity(now)
-            worker = self._find_worker(address)
+            worker = self._find_addressed_worker(address)
             if worker is not None:
                 self.runs.handle_stop_result(worker, run, result, now)
 
     def stimulus_pace_result(self, order: SendPace, result: OrderResult, now: float) -> None:
         """Handle a worker's answer to a pace order, or its absence."""
-        if self._check_fence(result):
-            worker = self._find_worker(order.address)
+        if self._step_down_if_fenced(result):
+            worker = self._find_addressed_worker(order.address)
             if worker is not None:
                 is_done = result.outcome is OrderOutcome.DONE
                 self._pace_controller.handle_result(worker, order.run, order.percent, is_done)
@@ -283,7 +283,7 @@
         reason = StepDownReason.STORE_FENCED if is_fenced else StepDownReason.OUT_OF_SEQUENCE
         self.context.step_down(reason)
 
-    def _find_worker(self, address: WorkerAddress) -> Worker | None:
+    def _find_addressed_worker(self, address: WorkerAddress) -> Worker | None:
         """Return the incarnation to which an order was addressed, unless it has ended."""
         worker = self.context.table.workers.get(address.worker_id)
         if worker is None or address.born_ms not in (0, worker.born_ms):
@@ -352,20 +352,24 @@
 
     def next_moment(self) -> float | None:
         """Return when :meth:`flush` is due without further events, or ``None``."""
-        moment = self.context.commit.next_moment()
+        wakeup_at = self.context.commit.next_moment()
         if not self._is_placement_deferred:
-            return moment
-        return self._next_placement_at if moment is None else min(moment, self._next_placement_at)
+            return wakeup_at
+        return (
+            self._next_placement_at
+            if wakeup_at is None
+            else min(wakeup_at, self._next_placement_at)
+        )
 
     def _place_if_due(self, now: float) -> None:
         context = self.context
-        is_wanted = context.wants_placement and context.may_order(now)
-        self._is_placement_deferred = is_wanted and now < self._next_placement_at
-        if is_wanted and not self._is_placement_deferred:
+        is_placement_needed = context.wants_placement and context.may_order(now)
+        self._is_placement_deferred = is_placement_needed and now < self._next_placement_at
+        if is_placement_needed and not self._is_placement_deferred:
             context.wants_placement = False
-            self._place(now)
+            self._run_placement_pass(now)
 
-    def _place(self, now: float) -> None:
+    def _run_placement_pass(self, now: float) -> None:
         context = self.context
         for step in context.desk.take_due_retries(now):
             self._placer.reconsider(step)
@@ -375,10 +379,10 @@
         plans = self._placer.plan(steps, context.policy, self.quotas.begin_pass(now), now)
         for plan in plans:
             self._run_starter.start(plan, now)
-        for overlooked in self._placer.take_overlooked():
-            self._log_overlooked(overlooked, now)
-        for held_back in self._placer.take_newly_over_quota():
-            self._log_over_quota(held_back)
+        for overlooked_step in self._placer.take_overlooked():
+            self._log_overlooked(overlooked_step, now)
+        for over_quota_step in self._placer.take_newly_over_quota():
+            self._log_over_quota(over_quota_step)
         for eviction in self._placer.take_evictions():
             self.runs.preempt(eviction, now)
         # A pass that reached the limit of placements was cut off; another pass places the rest.
@@ -414,7 +418,7 @@
             quota_mb=policy.quota.memory_mb if policy is not None else 0,
         )
 
-    def _check_fence(self, result: OrderResult) -> bool:
+    def _step_down_if_fenced(self, result: OrderResult) -> bool:
         """Step down if a worker has seen a higher token; return whether to continue."""
         if self.context.is_over:
             return False
