--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -52,8 +52,8 @@
 
     def start(orders: FakeWorkerOrders, order: SendStart, on_result: Any) -> None:
         if holder.is_holding:
-            proof_at = holder.node.seats[0].scheduler.context.commit.proof_at
-            context.starts.append((cluster.time.now(), order.token, proof_at))
+            ownership_proven_at = holder.node.seats[0].scheduler.context.commit.ownership_proven_at
+            context.starts.append((cluster.time.now(), order.token, ownership_proven_at))
         original(orders, order, on_result)
 
     patch = mock.patch.object(FakeWorkerOrders, "start", start)
@@ -84,8 +84,8 @@
 @then("every start order after the suspension was sent after a new proof of ownership")
 def _starts_follow_proof(context: Any) -> None:
     starts_after_resume = [
-        (moment, proof_at)
-        for moment, token, proof_at in context.starts
+        (moment, ownership_proven_at)
+        for moment, token, ownership_proven_at in context.starts
         if moment >= context.resumed_at and token == context.token
     ]
     unproven_starts = [item for item in starts_after_resume if item[1] < context.resumed_at]
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -20,7 +20,7 @@
     """Append records to the shard's partition; the outcome is unknown after the timeout."""
 
     append: ShardAppend
-    patience_seconds: float
+    answer_timeout_seconds: float
 
 
 class WorkerAddress(msgspec.Struct, frozen=True):
@@ -38,14 +38,14 @@
 class SendHold(msgspec.Struct, frozen=True):
     """Fence a worker, extend its lease, and ask which runs are active and which have ended.
 
-    ``last_seen`` is the number of the last end of a run that the holder has recorded.
+    ``acknowledged_through`` is the number of the last end of a run that the holder has recorded.
     ``until_ms`` is the new end of the lease, 0 if the lease is not extended.  ``wait_ms`` is the
     longest time for which the worker may delay its answer until a run ends.
     """
 
     address: WorkerAddress
     token: Token
-    last_seen: int
+    acknowledged_through: int
     until_ms: int
     wait_ms: int
     number: int
@@ -80,7 +80,7 @@
     percent: int
 
 
-class AskAdvice(msgspec.Struct, frozen=True):
+class RequestAdvice(msgspec.Struct, frozen=True):
     """Have an entry call the advice service about a step and a set of workers."""
 
     call_id: int
@@ -89,7 +89,7 @@
     worker_ids: tuple[WorkerId, ...]
 
 
-class AskQuota(msgspec.Struct, frozen=True):
+class RequestQuota(msgspec.Struct, frozen=True):
     """Request a part of a tenant's quota from the holder of the tenant's home shard."""
 
     home: ShardId
@@ -124,7 +124,7 @@
     seconds: float
 
 
-class JobBegun(msgspec.Struct, frozen=True):
+class JobStarted(msgspec.Struct, frozen=True):
     """Count a job in the metrics once a worker has received its first run."""
 
     queue: str
@@ -147,7 +147,7 @@
     outcome: ReturnOutcome
 
 
-class AdviceAsked(msgspec.Struct, frozen=True):
+class AdviceRequested(msgspec.Struct, frozen=True):
     """Count in the metrics a call that left the advice queue after a number of seconds."""
 
     queue: str
@@ -162,7 +162,7 @@
     WORKER_FENCED = "worker_fenced"
     OUT_OF_SEQUENCE = "out_of_sequence"
     PLANNED = "planned"
-    STORE_AWAY = "store_away"
+    STORE_UNREACHABLE = "store_away"
     LARGER_NODE = "larger_node"
 
 
@@ -172,7 +172,7 @@
     reason: StepDownReason
 
 
-class Decision(msgspec.Struct, frozen=True):
+class DecisionLogLine(msgspec.Struct, frozen=True):
     """Log a decision or an inference, with the values on which it is based."""
 
     event: str
@@ -185,15 +185,15 @@
     | SendStart
     | SendStop
     | SendPace
-    | AskAdvice
-    | AskQuota
+    | RequestAdvice
+    | RequestQuota
     | ReplyToCall
     | DropWorkerConnections
-    | JobBegun
+    | JobStarted
     | JobEnded
     | CallerReturned
-    | AdviceAsked
+    | AdviceRequested
     | LayoutKnown
     | StepDown
-    | Decision
+    | DecisionLogLine
 )
--- a/src/onyxspoke/core/shard/calls.py
+++ b/src/onyxspoke/core/shard/calls.py
@@ -31,7 +31,7 @@
     tenant: TenantName = ""
 
 
-class WaitingCall(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class WaitingCountCall(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """Query how many accepted jobs of a queue have not started."""
 
     queue: str
@@ -43,30 +43,30 @@
     request: QuotaRequest
 
 
-Call = SubmitCall | CancelCall | StateCall | WaitingCall | QuotaCall
+Call = SubmitCall | CancelCall | StateCall | WaitingCountCall | QuotaCall
 
 #: Names of the calls in logs and metrics.
 CALL_NAMES: dict[type[Call], str] = {
     SubmitCall: "submit",
     CancelCall: "cancel",
     StateCall: "state",
-    WaitingCall: "waiting",
+    WaitingCountCall: "waiting",
     QuotaCall: "quota",
 }
 
 
-def job_of(call: Call) -> JobId:
+def job_id_of(call: Call) -> JobId:
     """Return the identifier of the job that a call refers to, or an empty string."""
     if isinstance(call, SubmitCall):
         return call.job.job_id
-    return "" if isinstance(call, (WaitingCall, QuotaCall)) else call.job_id
+    return "" if isinstance(call, (WaitingCountCall, QuotaCall)) else call.job_id
 
 
 def queue_of(call: Call) -> str:
     """Return the name of the queue that a call refers to, or an empty string."""
     if isinstance(call, SubmitCall):
         return call.job.queue.name
-    return call.queue if isinstance(call, WaitingCall) else ""
+    return call.queue if isinstance(call, WaitingCountCall) else ""
 
 
 class ReplyCode(Enum):
@@ -91,7 +91,7 @@
     state : str
         Name of the job's state, for :class:`StateCall`.
     waiting : int
-        Number of jobs that have not started, for :class:`WaitingCall`.
+        Number of jobs that have not started, for :class:`WaitingCountCall`.
     granted : Needs or None
         Resources that the shard's runs may use, for :class:`QuotaCall`.
     retry_after_seconds : float
--- a/src/onyxspoke/core/shard/commit.py
+++ b/src/onyxspoke/core/shard/commit.py
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    proof_at : float
+    ownership_proven_at : float
         When the latest successful append was first sent; this node held the shard at that time.
     interval_seconds : float
         Shortest pause between two appends.
@@ -84,7 +84,7 @@
     shard: ShardId
     epoch: int
     next_sequence: int
-    proof_at: float
+    ownership_proven_at: float
     collect: Callable[[int], list[ShardRecord]]
     renew: Callable[[], ShardRecord]
     is_dirty: Callable[[], bool]
@@ -100,7 +100,9 @@
     #: Batch of the append that :meth:`next_append` returned last.
     _last_returned: _Batch | None = None
 
-    def is_in_trouble(self, now: float, minimum_overdue_seconds: float = OVERDUE_SECONDS) -> bool:
+    def is_append_overdue(
+        self, now: float, minimum_overdue_seconds: float = OVERDUE_SECONDS
+    ) -> bool:
         """Return whether the oldest unacknowledged append is overdue."""
         if not self._unacknowledged:
             return False
@@ -153,7 +155,7 @@
         ]
         return max(base_timeout_seconds, ANSWER_TIMEOUT_FACTOR * self.latest_call_seconds)
 
-    def next_moment(self) -> float | None:
+    def next_wakeup_at(self) -> float | None:
         """Return when :meth:`next_append` is due without further events, or ``None``."""
         wakeup_times = [
             batch.retry_at for batch in self._unacknowledged if batch.retry_at is not None
@@ -201,7 +203,7 @@
     # Appends
 
     def _is_claim_renewal_due(self, now: float) -> bool:
-        return now - max(self._last_sent_at, self.proof_at) >= CLAIM_RENEWAL_SECONDS
+        return now - max(self._last_sent_at, self.ownership_proven_at) >= CLAIM_RENEWAL_SECONDS
 
     def _next_new_append_at(self) -> float:
         """Return when the next new append may be sent; infinity while it waits for an answer."""
@@ -248,7 +250,7 @@
         """
         self.latest_call_seconds = call_seconds
         # The store may answer a duplicate from memory, so only the time of the first call counts.
-        self.proof_at = max(self.proof_at, batch.first_sent_at)
+        self.ownership_proven_at = max(self.ownership_proven_at, batch.first_sent_at)
         count = self._unacknowledged.index(batch) + 1
         done, self._unacknowledged = self._unacknowledged[:count], self._unacknowledged[count:]
         if self._unacknowledged:
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -9,11 +9,11 @@
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.jobs.book import JobBook
 from onyxspoke.core.jobs.policy import PolicySet
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.shard.actions import (
-    Decision,
+    DecisionLogLine,
     FieldValue,
     ShardAction,
     StepDown,
@@ -40,7 +40,7 @@
         Longest lease that a worker grants.
     stop_grace_ms : int
         Longest time that a worker takes to stop a run.
-    status_seconds : float
+    finished_job_retention_seconds : float
         Time for which a finished job's state is kept.
     repetition_lead_ms : float
         Longest time by which a repetition may start before its scheduled time.
@@ -48,7 +48,7 @@
         Time after which a start order that a worker has not carried out expires.
     hold_wait_ms : int
         Longest time for which a worker may delay its answer until a run ends.
-    hold_pause_seconds : float
+    hold_interval_seconds : float
         Pause between two holds to a worker, so that one hold reports ends close together.
     ownership_proof_seconds : float
         Time after the latest proof of ownership during which the holder may send orders.
@@ -60,11 +60,11 @@
 
     maximum_hold_ms: int = 6_000
     stop_grace_ms: int = 1_000
-    status_seconds: float = 120.0
+    finished_job_retention_seconds: float = 120.0
     repetition_lead_ms: float = 0.0
     start_validity_ms: int = 1_200
     hold_wait_ms: int = 1_000
-    hold_pause_seconds: float = 0.03
+    hold_interval_seconds: float = 0.03
     ownership_proof_seconds: float = 4.0
     refusal_retry_seconds: float = 1.0
     load: LoadOptions = LoadOptions()
@@ -89,9 +89,9 @@
         self.options = options
         self.token = token
         self.durations = Durations(options.load.learned_estimates)
-        self.book = JobBook(options.status_seconds, self.durations.work_of)
+        self.job_registry = JobBook(options.finished_job_retention_seconds, self.durations.work_of)
         self.table = WorkerTable()
-        self.desk = AdviceDesk(shard, options.load.advice_shares)
+        self.advice_dispatcher = AdviceDispatcher(shard, options.load.advice_shares)
         self.shard = shard
         self.ledger = QuotaLedger()
         self.bank = QuotaBank(shard)
@@ -101,8 +101,8 @@
         self.policy = PolicySet()
         self.commit: CommitQueue
         self.actions: list[ShardAction] = []
-        self.wants_placement = False
-        self.is_over = False
+        self.needs_placement = False
+        self.has_stepped_down = False
         #: Layout of a new cell that is not part of any append yet.
         self.uncommitted_layout: CellLayout | None = None
         #: Time until which no node can claim the shard, because no node reaches the store.
@@ -111,7 +111,7 @@
         self.wall_offset_ms: float | None = None
         #: When the process last found that it had been stalled; another node may have claimed the
         #: shard before that time.
-        self.paused_until = -math.inf
+        self.stall_ended_at = -math.inf
 
     def emit(self, action: ShardAction) -> None:
         """Add an action for the caller of the scheduler to carry out."""
@@ -119,7 +119,7 @@
 
     def log(self, event: str, **fields: FieldValue) -> None:
         """Log a decision as one line with an event and its fields."""
-        self.actions.append(Decision(event, tuple(fields.items())))
+        self.actions.append(DecisionLogLine(event, tuple(fields.items())))
 
     def wall_ms(self, now: float) -> int:
         """Return the time of day in milliseconds since 1970, or 0 while it is not known."""
@@ -129,16 +129,16 @@
 
     def step_down(self, reason: StepDownReason) -> None:
         """Give the shard up; the holder sends no more orders."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.has_stepped_down:
+            self.has_stepped_down = True
             self.actions.append(StepDown(reason))
 
-    def may_order(self, now: float) -> bool:
+    def may_send_orders(self, now: float) -> bool:
         """Return whether this node certainly holds the shard and may therefore send orders."""
         # An append that was sent before a stall does not prove ownership after the stall.
-        if self.is_over or self.commit.proof_at < self.paused_until:
+        if self.has_stepped_down or self.commit.ownership_proven_at < self.stall_ended_at:
             return False
-        proven_until = self.commit.proof_at + self.options.ownership_proof_seconds
+        proven_until = self.commit.ownership_proven_at + self.options.ownership_proof_seconds
         return now < max(proven_until, self.unclaimable_until)
 
 
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -13,12 +13,12 @@
 
 from onyxspoke.core.shard.election_actions import (
     BecomeHolder,
+    ConnectionLossReason,
     ConnectToHolder,
     ElectionAction,
-    ElectionNote,
+    ElectionLogLine,
     ElectionState,
     HolderChanged,
-    LossReason,
     NodeIdentity,
     ReadClaim,
     SendClaim,
@@ -89,7 +89,7 @@
         Returns a random number of at least 0 and below 1.
     started_at : float
         When this process started; earlier incarnations on this host had ended by then.
-    handicap : callable
+    load_delay_seconds : callable
         Returns by how many seconds this node delays its claim in favour of nodes that hold fewer
         shards.
     """
@@ -100,18 +100,18 @@
         identity: NodeIdentity,
         random_fraction: Callable[[], float],
         started_at: float,
-        handicap: Callable[[], float] = lambda: 0.0,
+        load_delay_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._shard = shard
         self._identity = identity
         self._random_fraction = random_fraction
         self._started_at = started_at
-        self._handicap = handicap
+        self._load_delay_seconds = load_delay_seconds
         self.state = ElectionState.READING
         self.claim: ClaimRecord | None = None
         self._partition_end = -1
         #: Successors that the holder has named, in the order of their turns.
-        self.members: list[NodeIdentity] = []
+        self.successors: list[NodeIdentity] = []
         self._pacing = StorePacing()
         self._turn_load_delay_seconds = 0.0
         self._due_at = 0.0
@@ -129,7 +129,7 @@
         self._claim_first_sent_at = 0.0
         self._claim_last_sent_at = 0.0
         self._claim_attempts = 0
-        self._former_token = 0
+        self._previous_token = 0
         self._claims_deferred_until = -math.inf
         self.actions: list[ElectionAction] = []
 
@@ -139,13 +139,13 @@
         """Start to look for the holder."""
         self._start_reading(now, "started")
 
-    def rest_until(self, deferred_until: float) -> None:
+    def defer_claims_until(self, deferred_until: float) -> None:
         """Do not claim the shard before a given time, so that other nodes take over."""
         self._claims_deferred_until = deferred_until
 
-    def set_members(self, members: list[NodeIdentity]) -> None:
+    def set_successors(self, successors: list[NodeIdentity]) -> None:
         """Set the successors that the holder has named, in the order of their turns."""
-        self.members = members
+        self.successors = successors
 
     def set_pacing(self, pacing: StorePacing) -> None:
         """Set how often nodes that are not successors may call the store."""
@@ -191,30 +191,34 @@
         known = self.claim
         if known is None or peer.host != known.host:
             return
-        if claim is not None and claim.token == known.token and peer.life == known.life:
+        if (
+            claim is not None
+            and claim.token == known.token
+            and peer.incarnation == known.incarnation
+        ):
             self._heartbeat_timeout_seconds = max(
                 HEARTBEAT_TIMEOUT_SECONDS, HEARTBEAT_TIMEOUT_INTERVALS * interval_seconds
             )
             self._follow_holder(now, known)
         elif self.state in _HOLDER_MONITORING_STATES:
-            if peer.life != known.life:
+            if peer.incarnation != known.incarnation:
                 self._holder_dead_since = now
             elif now - self._claim_unconfirmed_since < CLAIM_CONFIRMATION_SECONDS:
                 return
             self._suspects_holder_dead = True
             self._start_reading(now, "holder_let_go")
 
-    def handle_peer_lost(self, host: str, reason: LossReason, now: float) -> None:
+    def handle_peer_lost(self, host: str, reason: ConnectionLossReason, now: float) -> None:
         """Handle the loss of the connection to a peer, or a failure to connect."""
         claim = self.claim
         if claim is None or host != claim.host:
             return
         if self.state not in _HOLDER_MONITORING_STATES:
             return
-        if reason is LossReason.REFUSED:
+        if reason is ConnectionLossReason.REFUSED:
             self._suspects_holder_dead = True
             self._start_reading(now, "holder_refuses")
-        elif reason is LossReason.CLOSED and self.state is ElectionState.FOLLOWING:
+        elif reason is ConnectionLossReason.CLOSED and self.state is ElectionState.FOLLOWING:
             self._connect_to_holder(now, "stream_closed")
         elif self.state is not ElectionState.WATCHING:
             self._watch_holder(now, "holder_silent")
@@ -243,7 +247,7 @@
         """Return whether the latest known claim was made by a host."""
         return self.claim is not None and self.claim.host == host
 
-    def is_quiet(self, now: float) -> bool:
+    def is_idle(self, now: float) -> bool:
         """Return whether this node follows a holder and its latest heartbeat is recent enough."""
         return (
             self.state is ElectionState.FOLLOWING
@@ -275,10 +279,10 @@
 
         A node that has taken over another shard while it waited delays its claim further.
         """
-        handicap = self._handicap()
-        if handicap > self._turn_load_delay_seconds:
-            self._due_at = now + handicap - self._turn_load_delay_seconds
-            self._turn_load_delay_seconds = handicap
+        load_delay_seconds = self._load_delay_seconds()
+        if load_delay_seconds > self._turn_load_delay_seconds:
+            self._due_at = now + load_delay_seconds - self._turn_load_delay_seconds
+            self._turn_load_delay_seconds = load_delay_seconds
         elif not self._is_successor and now - self._last_read_at > MAXIMUM_READ_AGE_SECONDS:
             self._due_at = now + MAXIMUM_READ_AGE_SECONDS / 2
             if not self._is_read_pending:
@@ -313,7 +317,7 @@
         self._suspects_holder_dead = False
         if claim.host == self._identity.host:
             # An earlier incarnation made this claim, or the store carried out our claim late.
-            if claim.life != self._identity.life:
+            if claim.incarnation != self._identity.incarnation:
                 self._holder_dead_since = self._started_at
             self._wait_for_turn(now, 0.0, "own_earlier_claim")
         else:
@@ -324,7 +328,7 @@
         self._heartbeat_timeout_seconds = HEARTBEAT_TIMEOUT_SECONDS
         self._holder_dead_since = None
         self._suspects_holder_dead = False
-        if claim.life != peer.life:
+        if claim.incarnation != peer.incarnation:
             self._connect_to_holder(now, "claim_told")
             return
         if self.state is ElectionState.FOLLOWING:
@@ -362,7 +366,7 @@
     @property
     def _is_successor(self) -> bool:
         """Whether the holder has named this node as a successor."""
-        return any(member.host == self._identity.host for member in self.members)
+        return any(member.host == self._identity.host for member in self.successors)
 
     def _poll_interval_seconds(self, seconds: float) -> float:
         """Return the seconds until the next read; nodes that are not successors wait longer."""
@@ -370,7 +374,7 @@
 
     def _turn_delay_seconds(self, claim: ClaimRecord) -> float:
         """Return the delay before this node claims, so that nodes with earlier turns go first."""
-        candidate_hosts = [member.host for member in self.members if member.host != claim.host]
+        candidate_hosts = [member.host for member in self.successors if member.host != claim.host]
         if self._identity.host in candidate_hosts:
             return min(
                 candidate_hosts.index(self._identity.host) * TURN_INTERVAL_SECONDS,
@@ -384,13 +388,13 @@
 
     def _first_turn_delay_seconds(self) -> float:
         """Return the delay before this node claims a shard that no node has ever held."""
-        successor_hosts = [member.host for member in self.members]
+        successor_hosts = [member.host for member in self.successors]
         if self._identity.host in successor_hosts:
             return (
-                self._handicap()
+                self._load_delay_seconds()
                 + successor_hosts.index(self._identity.host) * TURN_INTERVAL_SECONDS
             )
-        delay = MAXIMUM_TURN_DELAY_SECONDS if successor_hosts else self._handicap()
+        delay = MAXIMUM_TURN_DELAY_SECONDS if successor_hosts else self._load_delay_seconds()
         if self._identity.weight < 1.0:
             delay += SMALL_NODE_DELAY_SECONDS
         return delay + self._random_fraction() * max(
@@ -402,7 +406,7 @@
     def _change_state(self, state: ElectionState, now: float, reason: str) -> None:
         self.state = state
         token = self.claim.token if self.claim is not None else 0
-        self.actions.append(ElectionNote(state, reason, token))
+        self.actions.append(ElectionLogLine(state, reason, token))
 
     def _start_reading(self, now: float, reason: str) -> None:
         if self.state is not ElectionState.READING:
@@ -444,7 +448,7 @@
             self._change_state(ElectionState.READING, now, "resting")
             return
         self._change_state(ElectionState.WAITING_TURN, now, reason)
-        self._turn_load_delay_seconds = self._handicap()
+        self._turn_load_delay_seconds = self._load_delay_seconds()
         self._due_at = now + delay
         if delay <= 0:
             self._claim_shard(now)
@@ -453,8 +457,10 @@
         identity = self._identity
         token = self._partition_end + 1
         # The known claim is the latest: a newer one would have moved the end of the partition.
-        self._former_token = self.claim.token if self.claim is not None else 0
-        claim = ClaimRecord(life=identity.life, host=identity.host, port=identity.port, token=token)
+        self._previous_token = self.claim.token if self.claim is not None else 0
+        claim = ClaimRecord(
+            incarnation=identity.incarnation, host=identity.host, port=identity.port, token=token
+        )
         self._pending_claim = claim
         self._pending_append = ShardAppend(
             shard=self._shard,
@@ -486,8 +492,8 @@
                 claim=self._pending_claim,
                 next_sequence=claim_append.sequence + 1,
                 claimed_at=self._claim_first_sent_at,
-                store_seconds=now - self._claim_last_sent_at,
-                former_dead_since=self._holder_dead_since,
-                former_token=self._former_token,
+                claim_call_seconds=now - self._claim_last_sent_at,
+                previous_holder_dead_since=self._holder_dead_since,
+                previous_token=self._previous_token,
             )
         )
--- a/src/onyxspoke/core/shard/election_actions.py
+++ b/src/onyxspoke/core/shard/election_actions.py
@@ -21,7 +21,7 @@
     HOLDING = "holding"
 
 
-class LossReason(Enum):
+class ConnectionLossReason(Enum):
     """Why a connection to a peer was lost or could not be opened.
 
     ``REFUSED``: no process listens on the peer's port.  ``CLOSED``: the connection was closed or
@@ -36,7 +36,7 @@
 class NodeIdentity(msgspec.Struct, frozen=True, array_like=True):
     """One incarnation of a node's process, and the address at which its peers reach it."""
 
-    life: str
+    incarnation: str
     host: str
     port: int
     zone: str = ""
@@ -64,17 +64,19 @@
 class BecomeHolder(msgspec.Struct, frozen=True):
     """Start to act as the shard's holder: the store has accepted the claim.
 
-    ``former_dead_since`` is a time by which the previous holder's process had ended, or ``None``
-    if no such time is known.  ``store_seconds`` is how long the store took to answer the claim.
-    ``former_token`` is the fencing token of the claim that was replaced, 0 if there was none.
+    ``previous_holder_dead_since`` is a time by which the previous holder's process had ended, or
+    ``None``
+    if no such time is known.  ``claim_call_seconds`` is how long the store took to answer the
+    claim.
+    ``previous_token`` is the fencing token of the claim that was replaced, 0 if there was none.
     """
 
     claim: ClaimRecord
     next_sequence: int
     claimed_at: float
-    store_seconds: float
-    former_dead_since: float | None
-    former_token: int = 0
+    claim_call_seconds: float
+    previous_holder_dead_since: float | None
+    previous_token: int = 0
 
 
 class HolderChanged(msgspec.Struct, frozen=True):
@@ -83,7 +85,7 @@
     claim: ClaimRecord | None
 
 
-class ElectionNote(msgspec.Struct, frozen=True):
+class ElectionLogLine(msgspec.Struct, frozen=True):
     """Log a change of the election's state."""
 
     state: ElectionState
@@ -92,5 +94,5 @@
 
 
 ElectionAction = (
-    ReadClaim | ConnectToHolder | SendClaim | BecomeHolder | HolderChanged | ElectionNote
+    ReadClaim | ConnectToHolder | SendClaim | BecomeHolder | HolderChanged | ElectionLogLine
 )
--- a/src/onyxspoke/core/shard/layout.py
+++ b/src/onyxspoke/core/shard/layout.py
@@ -56,13 +56,15 @@
 _decoder = msgspec.msgpack.Decoder(CellLayout)
 
 
-def plan_layout(workers: list[WorkerRecord], workers_a_shard: int, most_shards: int) -> CellLayout:
+def plan_layout(
+    workers: list[WorkerRecord], workers_per_shard: int, maximum_shards: int
+) -> CellLayout:
     """Return the layout of a new cell.
 
     The number of shards follows from the number of workers.  It is reduced if some shard would
     otherwise have too few workers.
     """
-    wanted_count = min(-(-len(workers) // workers_a_shard), most_shards)
+    wanted_count = min(-(-len(workers) // workers_per_shard), maximum_shards)
     for count in range(wanted_count, 1, -1):
         layout = CellLayout(count)
         shard_sizes = Counter(layout.shard_of_worker(record) for record in workers)
--- a/src/onyxspoke/core/shard/log_records.py
+++ b/src/onyxspoke/core/shard/log_records.py
@@ -53,7 +53,8 @@
     """Outcome of an append.
 
     ``NOT_DONE``: the store refused the append and changed nothing.  ``UNKNOWN``: the store may
-    have carried out the append, or may do so later.  ``MOVED``: the partition does not end at the
+    have carried out the append, or may do so later.  ``END_MOVED``: the partition does not end at
+    the
     expected offset.  ``FENCED``: the store has seen a higher epoch.  ``OUT_OF_SEQUENCE``: the
     sequence number is not the next one.  ``INVALID``: the store rejects the request as malformed.
     """
@@ -61,7 +62,7 @@
     DONE = "done"
     NOT_DONE = "not_done"
     UNKNOWN = "unknown"
-    MOVED = "moved"
+    END_MOVED = "moved"
     FENCED = "fenced"
     OUT_OF_SEQUENCE = "out_of_sequence"
     INVALID = "invalid"
@@ -77,7 +78,7 @@
     call_seconds: float = 0.0
 
 
-class NewestPage(msgspec.Struct, frozen=True, array_like=True):
+class LatestRecordsPage(msgspec.Struct, frozen=True, array_like=True):
     """The latest record of each key after a given key, in the order of the keys.
 
     ``is_known`` is false if the store did not answer.
@@ -94,7 +95,7 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         Unique name of the incarnation of the holder's process.
     token : int
         Fencing token of the claim: the end of the partition before the claim, plus one.
@@ -102,7 +103,7 @@
         Number of times that the holder has renewed the record.
     """
 
-    life: str
+    incarnation: str
     host: str
     port: int
     token: int
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -15,20 +15,20 @@
 from onyxspoke.core.placement.worker_record import UnusableEntry, WorkerRecord
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.shard.actions import (
-    AdviceAsked,
-    AskAdvice,
+    AdviceRequested,
+    RequestAdvice,
     SendAppend,
     SendPace,
     ShardAction,
     StepDownReason,
     WorkerAddress,
 )
-from onyxspoke.core.shard.admission_desk import AdmissionDesk
-from onyxspoke.core.shard.call_desk import CallDesk
+from onyxspoke.core.shard.admission_controller import AdmissionController
+from onyxspoke.core.shard.call_handler import CallHandler
 from onyxspoke.core.shard.calls import Call, CallReply
 from onyxspoke.core.shard.commit import MINIMUM_COMMIT_INTERVAL_SECONDS, CommitQueue
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
-from onyxspoke.core.shard.estimates_keeper import EstimatesKeeper
+from onyxspoke.core.shard.estimates_manager import EstimatesManager
 from onyxspoke.core.shard.evacuation import Evacuation
 from onyxspoke.core.shard.journal import (
     RecordCollector,
@@ -49,13 +49,13 @@
     OrderOutcome,
     OrderResult,
 )
-from onyxspoke.core.shard.pace_keeper import PaceKeeper
-from onyxspoke.core.shard.quota_desk import QuotaDesk
-from onyxspoke.core.shard.run_keeper import RunKeeper
-from onyxspoke.core.shard.run_reports import RunReports
+from onyxspoke.core.shard.pace_controller import PaceController
+from onyxspoke.core.shard.quota_coordinator import QuotaCoordinator
+from onyxspoke.core.shard.run_manager import RunManager
+from onyxspoke.core.shard.run_reconciler import RunReconciler
 from onyxspoke.core.shard.run_starter import RunStarter
-from onyxspoke.core.shard.worker_keeper import WorkerKeeper
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.worker_manager import WorkerManager
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 from onyxspoke.core.tenants.bank import QuotaRequest
 
 #: A longer gap between two events means that the process was stalled, and may have been suspended.
@@ -84,7 +84,7 @@
         Sequence number of the next append in the claim's epoch.
     claimed_at : float
         When the claim was first sent.
-    store_seconds : float
+    claim_call_seconds : float
         How long the store took to answer the claim.
     options : ShardOptions
         Limits and timings.
@@ -96,43 +96,43 @@
         claim: ClaimRecord,
         next_sequence: int,
         claimed_at: float,
-        store_seconds: float,
+        claim_call_seconds: float,
         options: ShardOptions,
     ) -> None:
         self.context = ShardContext(options, claim.token, shard)
         self._options = options
-        self.runs = RunKeeper(self.context)
+        self.runs = RunManager(self.context)
         self._run_starter = RunStarter(self.context, self.runs)
-        reports = RunReports(self.context, self.runs)
-        self.register = WorkerRegister(
-            self.context, former_orders_until=claimed_at + options.ownership_proof_seconds
+        reports = RunReconciler(self.context, self.runs)
+        self.worker_registry = WorkerRegistry(
+            self.context, previous_orders_until=claimed_at + options.ownership_proof_seconds
         )
-        self.workers = WorkerKeeper(self.context, self.runs, reports, self.register)
-        self.quotas = QuotaDesk(self.context)
-        self._admission = AdmissionDesk(self.context, self.register)
-        self._call_handler = CallDesk(self.context, self.runs, self.quotas, self._admission)
-        self._pace_controller = PaceKeeper(self.context)
+        self.workers = WorkerManager(self.context, self.runs, reports, self.worker_registry)
+        self.quotas = QuotaCoordinator(self.context)
+        self._admission = AdmissionController(self.context, self.worker_registry)
+        self._call_handler = CallHandler(self.context, self.runs, self.quotas, self._admission)
+        self._pace_controller = PaceController(self.context)
         self._evacuation = Evacuation(self.context, self.runs)
-        self._estimates = EstimatesKeeper(self.context)
+        self._estimates = EstimatesManager(self.context)
         self._record_collector = RecordCollector(
-            self.context, self.register, self._estimates, claim
+            self.context, self.worker_registry, self._estimates, claim
         )
         self.context.commit = CommitQueue(
             shard=shard,
             epoch=claim.token,
             next_sequence=next_sequence,
-            proof_at=claimed_at,
+            ownership_proven_at=claimed_at,
             collect=self._record_collector.collect,
             renew=self._record_collector.renew,
             is_dirty=self._record_collector.is_dirty,
-            latest_call_seconds=store_seconds,
+            latest_call_seconds=claim_call_seconds,
         )
         stop_seconds = options.stop_grace_ms / _MILLISECONDS
         self._placer = Placer(
             self.context.table,
-            self.context.desk,
+            self.context.advice_dispatcher,
             stop_seconds,
-            minds_speed=options.load.unlike_workers,
+            is_speed_aware=options.load.unlike_workers,
         )
         self._last_active_at = claimed_at
         self._is_recovered = False
@@ -144,53 +144,53 @@
     # Recovery
 
     def recover(
-        self, records: list[ShardRecord], former_token: int, now: float, wall_ms: float
+        self, records: list[ShardRecord], previous_token: int, now: float, wall_ms: float
     ) -> list[ShardAction]:
         """Restore the shard's state from the records in the store.
 
         Parameters
         ----------
-        former_token : int
+        previous_token : int
             Fencing token of the claim that this process replaced; 0 if there was none.
         """
-        self.context.book.starts_are_recorded = starts_are_recorded(records, former_token)
+        self.context.job_registry.starts_are_recorded = starts_are_recorded(records, previous_token)
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
-        self.context.book.is_recovering = True
-        restore_records(self.context, self.register, records, now)
-        for worker_id in self.context.book.doubted_workers():
+        self.context.job_registry.is_recovering = True
+        restore_records(self.context, self.worker_registry, records, now)
+        for worker_id in self.context.job_registry.doubted_workers():
             if worker_id not in self.context.table.workers:
                 # A worker's record is dropped only once the worker certainly runs nothing.
-                self.context.book.settle_worker(worker_id, now)
+                self.context.job_registry.settle_worker(worker_id, now)
         self._is_recovered = True
         self._last_active_at = now
         return self.flush(now)
 
-    def former_holder_is_dead(self, since: float) -> None:
+    def handle_previous_holder_dead(self, since: float) -> None:
         """Record that the previous holder's process had ended by a given time."""
-        self.register.handle_advice_of_death(since)
+        self.worker_registry.shorten_previous_leases(since)
 
     def set_commit_interval(self, seconds: float) -> None:
         """Set the pause between two appends that the store's rate limits require."""
         self.context.commit.interval_seconds = max(seconds, MINIMUM_COMMIT_INTERVAL_SECONDS)
 
-    def stimulus_layout(self, layout: CellLayout) -> None:
+    def on_layout(self, layout: CellLayout) -> None:
         """Write the layout of a new cell; an action reports the layout once it is stored."""
         self.context.uncommitted_layout = layout
 
     # Configuration, directory and store
 
-    def stimulus_policy(self, policy: PolicySet, now: float) -> None:
+    def on_policy(self, policy: PolicySet, now: float) -> None:
         """Apply a change of the operator's configuration."""
         self.context.policy = policy
         self.context.shares.keep_only(set(policy.tenants))
         self._placer.reconsider_all()
-        self.context.wants_placement = True
+        self.context.needs_placement = True
 
-    def stimulus_shard_count(self, count: int) -> None:
+    def on_shard_count(self, count: int) -> None:
         """Set the number of shards that share every tenant's quota and weight."""
         self.context.shard_count = count
 
-    def stimulus_workers_listed(
+    def on_workers_listed(
         self,
         records: list[WorkerRecord],
         unusable: list[UnusableEntry],
@@ -198,47 +198,47 @@
         now: float,
     ) -> None:
         """Handle a listing of the directory: its workers, and its unusable items."""
-        self.register.handle_listed(records, unusable, is_whole, now)
+        self.worker_registry.handle_listed(records, unusable, is_whole, now)
 
-    def stimulus_worker_unlisted(self, worker_id: WorkerId, now: float) -> None:
+    def on_worker_unlisted(self, worker_id: WorkerId, now: float) -> None:
         """Handle the removal of a worker from the directory."""
-        self.register.handle_unlisted(worker_id, now)
+        self.worker_registry.handle_unlisted(worker_id, now)
 
-    def stimulus_advisors(self, entry_names: list[str], now: float) -> None:
+    def on_advisors(self, entry_names: list[str], now: float) -> None:
         """Set the entries that can make calls to the advice service."""
-        self.context.desk.set_advisors(entry_names, now)
-        self.context.wants_placement |= self.context.desk.has_moved_calls
+        self.context.advice_dispatcher.set_advice_entries(entry_names, now)
+        self.context.needs_placement |= self.context.advice_dispatcher.has_requeued_calls
 
-    def stimulus_store_unreachable(self, until: float) -> None:
+    def on_store_unreachable(self, until: float) -> None:
         """Record that no node can claim the shard until a given time, as none reaches the store."""
         self.context.unclaimable_until = until
 
     # Results of orders, advice calls and appends
 
-    def stimulus_hold_result(
+    def on_hold_result(
         self, address: WorkerAddress, number: int, result: HoldResult, now: float
     ) -> None:
         """Handle a worker's answer to a hold, or its absence."""
         worker = self._find_addressed_worker(address)
-        if worker is not None and not self.context.is_over:
+        if worker is not None and not self.context.has_stepped_down:
             self._record_activity(now)
             self.workers.handle_hold_result(worker, number, result, now)
 
-    def stimulus_start_result(
+    def on_start_result(
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
         """Handle a worker's answer to a start order, or its absence."""
         if self._step_down_if_fenced(result):
             self._record_activity(now)
             if result.outcome is not OrderOutcome.NO_ANSWER:
-                self.context.table.open_starts.handle_answered(address.worker_id, run)
+                self.context.table.unresolved_starts.resolve_start(address.worker_id, run)
             worker = self._find_addressed_worker(address)
             if worker is not None:
                 self._run_starter.handle_start_result(worker, run, result, now)
                 if result.outcome is OrderOutcome.NO_ANSWER:
                     self.workers.note_answer_lost(now)
 
-    def stimulus_stop_result(
+    def on_stop_result(
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
         """Handle a worker's answer to a stop order, or its absence."""
@@ -248,33 +248,33 @@
             if worker is not None:
                 self.runs.handle_stop_result(worker, run, result, now)
 
-    def stimulus_pace_result(self, order: SendPace, result: OrderResult, now: float) -> None:
+    def on_pace_result(self, order: SendPace, result: OrderResult, now: float) -> None:
         """Handle a worker's answer to a pace order, or its absence."""
         if self._step_down_if_fenced(result):
             worker = self._find_addressed_worker(order.address)
             if worker is not None:
                 is_done = result.outcome is OrderOutcome.DONE
-                self._pace_controller.handle_result(worker, order.run, order.percent, is_done)
+                self._pace_controller.handle_pace_result(worker, order.run, order.percent, is_done)
 
-    def stimulus_advice_result(self, call_id: int, result: AdviceResult, now: float) -> None:
+    def on_advice_result(self, call_id: int, result: AdviceResult, now: float) -> None:
         """Handle the advice service's answer to a call, or its absence."""
-        step = self.context.desk.handle_result(call_id, result, now)
+        step = self.context.advice_dispatcher.handle_result(call_id, result, now)
         if step is not None:
-            asked = len(self.context.desk.workers_asked(step))
+            asked = len(self.context.advice_dispatcher.queried_worker_ids(step))
             self.context.log("advice", step=step.name, good=len(result.tickets), asked=asked)
             self._placer.reconsider(step)
-            self.context.wants_placement = True
-        elif self.context.desk.has_moved_calls:
-            self.context.wants_placement = True
+            self.context.needs_placement = True
+        elif self.context.advice_dispatcher.has_requeued_calls:
+            self.context.needs_placement = True
 
-    def stimulus_append_result(
+    def on_append_result(
         self, sequence: int, sent_at: float, result: AppendResult, now: float
     ) -> None:
         """Handle the store's answer to an append, or its absence.
 
         The arguments name the append's sequence number and the time when the call was sent.
         """
-        if self.context.is_over:
+        if self.context.has_stepped_down:
             return
         self._record_activity(now)
         if self.context.commit.handle_result(sequence, sent_at, result, now):
@@ -292,12 +292,12 @@
 
     # Calls
 
-    def stimulus_call(self, call_id: int, call: Call, now: float) -> None:
+    def on_call(self, call_id: int, call: Call, now: float) -> None:
         """Handle a client call that an entry forwards."""
         self._record_activity(now)
         self._call_handler.handle_call(call_id, call, now)
 
-    def stimulus_quota_reply(self, request: QuotaRequest, reply: CallReply, now: float) -> None:
+    def on_quota_reply(self, request: QuotaRequest, reply: CallReply, now: float) -> None:
         """Handle the home shard's answer to a quota request, or its absence."""
         self.quotas.handle_reply(request, reply, now)
 
@@ -307,14 +307,14 @@
 
     # Timeouts and flushing
 
-    def stimulus_tick(self, now: float, wall_ms: float) -> None:
+    def on_tick(self, now: float, wall_ms: float) -> None:
         """Act on timeouts; ``wall_ms`` is the time of day in milliseconds since 1970."""
-        if self.context.is_over or not self._is_recovered:
+        if self.context.has_stepped_down or not self._is_recovered:
             return
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
         self._record_activity(now)
         self._call_handler.answer_overdue_calls(now)
-        self.workers.keep(now)
+        self.workers.tick(now)
         if now >= self._next_maintenance_at:
             self._next_maintenance_at = now + MAINTENANCE_INTERVAL_SECONDS
             self._run_maintenance(now, wall_ms)
@@ -325,22 +325,22 @@
         self._last_active_at = now
         if gap_seconds > STALL_THRESHOLD_SECONDS:
             self.context.log("stalled", seconds=round(gap_seconds, 2))
-            self.context.paused_until = now
+            self.context.stall_ended_at = now
 
     def _run_maintenance(self, now: float, wall_ms: float) -> None:
         """Run the maintenance that is not needed on every tick."""
-        self.context.book.keep(now, wall_ms, self._options.repetition_lead_ms)
-        self.runs.keep(now)
-        self._evacuation.keep(now)
-        self._pace_controller.keep(now)
-        self._admission.keep(now)
-        self._estimates.keep(now)
-        self.context.wants_placement = True
+        self.context.job_registry.keep(now, wall_ms, self._options.repetition_lead_ms)
+        self.runs.tick(now)
+        self._evacuation.tick(now)
+        self._pace_controller.tick(now)
+        self._admission.tick(now)
+        self._estimates.tick(now)
+        self.context.needs_placement = True
 
     def flush(self, now: float) -> list[ShardAction]:
         """Place waiting steps, start an append if one is due, and return all pending actions."""
         context = self.context
-        if not context.is_over and self._is_recovered:
+        if not context.has_stepped_down and self._is_recovered:
             self._record_activity(now)
             self._place_if_due(now)
             append = context.commit.next_append(now)
@@ -350,9 +350,9 @@
         actions, context.actions = context.actions, []
         return actions
 
-    def next_moment(self) -> float | None:
+    def next_wakeup_at(self) -> float | None:
         """Return when :meth:`flush` is due without further events, or ``None``."""
-        wakeup_at = self.context.commit.next_moment()
+        wakeup_at = self.context.commit.next_wakeup_at()
         if not self._is_placement_deferred:
             return wakeup_at
         return (
@@ -363,17 +363,17 @@
 
     def _place_if_due(self, now: float) -> None:
         context = self.context
-        is_placement_needed = context.wants_placement and context.may_order(now)
+        is_placement_needed = context.needs_placement and context.may_send_orders(now)
         self._is_placement_deferred = is_placement_needed and now < self._next_placement_at
         if is_placement_needed and not self._is_placement_deferred:
-            context.wants_placement = False
+            context.needs_placement = False
             self._run_placement_pass(now)
 
     def _run_placement_pass(self, now: float) -> None:
         context = self.context
-        for step in context.desk.take_due_retries(now):
+        for step in context.advice_dispatcher.take_due_retries(now):
             self._placer.reconsider(step)
-        steps = list(context.book.startable_steps())
+        steps = list(context.job_registry.startable_steps())
         pause = MINIMUM_PLACEMENT_PAUSE_SECONDS + PLACEMENT_PAUSE_PER_STEP_SECONDS * len(steps)
         self._next_placement_at = now + min(pause, MAXIMUM_PLACEMENT_PAUSE_SECONDS)
         plans = self._placer.plan(steps, context.policy, self.quotas.begin_pass(now), now)
@@ -383,15 +383,15 @@
             self._log_overlooked(overlooked_step, now)
         for over_quota_step in self._placer.take_newly_over_quota():
             self._log_over_quota(over_quota_step)
-        for eviction in self._placer.take_evictions():
+        for eviction in self._placer.take_preemption_requests():
             self.runs.preempt(eviction, now)
         # A pass that reached the limit of placements was cut off; another pass places the rest.
-        context.wants_placement = sum(len(item.placements) for item in plans) >= MAXIMUM_PLACEMENTS
-        for call in context.desk.dispatch(now):
-            context.emit(AskAdvice(call.call_id, call.advisor, call.step, call.worker_ids))
+        context.needs_placement = sum(len(item.placements) for item in plans) >= MAXIMUM_PLACEMENTS
+        for call in context.advice_dispatcher.dispatch(now):
+            context.emit(RequestAdvice(call.call_id, call.entry_name, call.step, call.worker_ids))
             tenant = call.progress.job.spec.tenant
-            context.emit(AdviceAsked(call.queue, tenant, max(0.0, now - call.wanted_at)))
-        for notice in context.desk.take_notices(now):
+            context.emit(AdviceRequested(call.queue, tenant, max(0.0, now - call.requested_at)))
+        for notice in context.advice_dispatcher.take_log_events(now):
             context.log(notice.event, **notice.fields)
 
     def _log_overlooked(self, step: StepProgress, now: float) -> None:
@@ -420,9 +420,9 @@
 
     def _step_down_if_fenced(self, result: OrderResult) -> bool:
         """Step down if a worker has seen a higher token; return whether to continue."""
-        if self.context.is_over:
+        if self.context.has_stepped_down:
             return False
-        if result.outcome.is_fence:
+        if result.outcome.is_fenced:
             self.context.step_down(StepDownReason.WORKER_FENCED)
             return False
         return True
--- a/src/onyxspoke/core/shard/store_budget.py
+++ b/src/onyxspoke/core/shard/store_budget.py
@@ -29,21 +29,21 @@
 
     Attributes
     ----------
-    commit_seconds : float
+    commit_interval_seconds : float
         Shortest interval between two appends of one holder.
     poll_interval_seconds : float
         Shortest interval between two polls for one shard's holder, at nodes that are not
         successors; the claims of such nodes are spread over the same time.
     """
 
-    commit_seconds: float = 0.0
+    commit_interval_seconds: float = 0.0
     poll_interval_seconds: float = 0.0
 
 
-def pace_calls(budget: StoreBudget, node_count: int, shard_count: int) -> StorePacing:
+def compute_store_pacing(budget: StoreBudget, node_count: int, shard_count: int) -> StorePacing:
     """Return the pacing of each node in a cell with this many nodes and shards."""
     return StorePacing(
-        commit_seconds=shard_count / (COMMIT_WRITE_SHARE * budget.writes_per_second),
+        commit_interval_seconds=shard_count / (COMMIT_WRITE_SHARE * budget.writes_per_second),
         poll_interval_seconds=node_count
         * shard_count
         / (POLL_READ_SHARE * budget.reads_per_second),
