--- a/src/onyxspoke/core/shard/election_actions.py
+++ b/src/onyxspoke/core/shard/election_actions.py
@@ -65,10 +65,9 @@
     """Start to act as the shard's holder: the store has accepted the claim.
 
     ``previous_holder_dead_since`` is a time by which the previous holder's process had ended, or
-    ``None``
-    if no such time is known.  ``claim_call_seconds`` is how long the store took to answer the
-    claim.
-    ``previous_token`` is the fencing token of the claim that was replaced, 0 if there was none.
+    ``None`` if no such time is known.  ``claim_call_seconds`` is how long the store took to answer
+    the claim.  ``previous_token`` is the fencing token of the claim that was replaced, 0 if there
+    was none.
     """
 
     claim: ClaimRecord
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -103,11 +103,11 @@
         self._options = options
         self.runs = RunManager(self.context)
         self._run_starter = RunStarter(self.context, self.runs)
-        reports = RunReconciler(self.context, self.runs)
+        run_reconciler = RunReconciler(self.context, self.runs)
         self.worker_registry = WorkerRegistry(
             self.context, previous_orders_until=claimed_at + options.ownership_proof_seconds
         )
-        self.workers = WorkerManager(self.context, self.runs, reports, self.worker_registry)
+        self.workers = WorkerManager(self.context, self.runs, run_reconciler, self.worker_registry)
         self.quotas = QuotaCoordinator(self.context)
         self._admission = AdmissionController(self.context, self.worker_registry)
         self._call_handler = CallHandler(self.context, self.runs, self.quotas, self._admission)
@@ -165,9 +165,9 @@
         self._last_active_at = now
         return self.flush(now)
 
-    def handle_previous_holder_dead(self, since: float) -> None:
+    def handle_previous_holder_dead(self, dead_since: float) -> None:
         """Record that the previous holder's process had ended by a given time."""
-        self.worker_registry.shorten_previous_leases(since)
+        self.worker_registry.shorten_previous_leases(dead_since)
 
     def set_commit_interval(self, seconds: float) -> None:
         """Set the pause between two appends that the store's rate limits require."""
