--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -12,7 +12,7 @@
 from onyxspoke.core.jobs.model import JobId, JobSpec, Needs, QueuePolicy, StepSpec, TaskKey
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.jobs.states import RunState
-from onyxspoke.core.placement.blame import EndOfLife, blame_runs, has_crashed
+from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerListing, WorkerRecord
 from onyxspoke.core.placement.workers import Worker
@@ -195,8 +195,8 @@
     "gone": WorkerListing.GONE,
 }
 END_REASONS = {
-    "another incarnation answers": EndOfLife.OTHER_LIFE,
-    "its lease has expired": EndOfLife.LEASE_OVER,
+    "another incarnation answers": IncarnationEndReason.OTHER_INCARNATION,
+    "its lease has expired": IncarnationEndReason.LEASE_EXPIRED,
 }
 
 
@@ -204,14 +204,14 @@
     record = WorkerRecord(
         worker_id="w1", host="10.9.0.1", port=8_000, service="s", zone="z", capacity=Needs(64_000)
     )
-    return Worker(record, unsettled_until=0.0)
+    return Worker(record, previous_lease_expires_at=0.0)
 
 
 @given("a worker that was {last_listing} when it last answered, and is {listing}")
 def _worker(context: Any, last_listing: str, listing: str) -> None:
     worker = context.worker = _make_worker()
     worker.listing = LISTINGS[last_listing]
-    worker.note_heard(100.0)
+    worker.note_answer(100.0)
     worker.listing = LISTINGS[listing]
 
 
@@ -234,7 +234,7 @@
 @given("a worker that last answered at second {second:g}")
 def _heard(context: Any, second: float) -> None:
     context.worker = _make_worker()
-    context.worker.note_heard(second)
+    context.worker.note_answer(second)
 
 
 @given("runs on it that were ordered at seconds {ordered_at_seconds}")
--- a/src/onyxspoke/core/admission/arrivals.py
+++ b/src/onyxspoke/core/admission/arrivals.py
@@ -9,7 +9,7 @@
 from onyxspoke.core.placement.queue_order import StepRank
 
 #: What came in longer ago than some of these, in seconds, counts for little.
-SPAN_SECONDS = 4.0
+DECAY_SECONDS = 4.0
 #: A rate is of so many seconds at least, so that a few jobs at once make none.
 SHORTEST_SECONDS = 1.0
 #: Work that goes first is never taken to fill more of the room, so that what waits moves on.
@@ -21,13 +21,13 @@
 class RankClass(NamedTuple):
     """What decides first who goes first."""
 
-    is_beyond_share: bool
+    is_over_share: bool
     priority: int
 
 
 def class_of(rank: StepRank) -> RankClass:
     """Return the class of a place in the line."""
-    return RankClass(rank.is_beyond_share, rank.priority)
+    return RankClass(rank.is_over_share, rank.priority)
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
     def rate(self, now: float) -> float:
         """Return the rate over the span, or since the first work where that is less."""
         watched = max(SHORTEST_SECONDS, now - self.since)
-        return self.work * _left(now - self.at) / (SPAN_SECONDS * (1.0 - _left(watched)))
+        return self.work * _left(now - self.at) / (DECAY_SECONDS * (1.0 - _left(watched)))
 
 
 class ArrivalMeter:
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self._sums: dict[str, dict[RankClass, _Sum]] = {}
 
-    def note(self, service: str, rank: StepRank, work: float, now: float) -> None:
+    def record_arrival(self, service: str, rank: StepRank, work: float, now: float) -> None:
         """A job was taken in."""
         sums = self._sums.setdefault(service, {})
         sums.setdefault(class_of(rank), _Sum(now, now)).add(work, now)
@@ -70,4 +70,4 @@
 
 
 def _left(seconds: float) -> float:
-    return math.exp(-seconds / SPAN_SECONDS)
+    return math.exp(-seconds / DECAY_SECONDS)
--- a/src/onyxspoke/core/admission/gate.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.lane import Ahead
 from onyxspoke.core.admission.load_view import LoadView
+from onyxspoke.core.admission.resource_pool import Ahead
+from onyxspoke.core.admission.submitted_job import SubmittedJob
 from onyxspoke.core.admission.verdict import (
     Admit,
     RefusalReason,
@@ -23,14 +23,14 @@
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 
 #: A caller is told to come back after so long at least, and at most, in seconds.
-SHORTEST_RETRY_SECONDS = 1.0
+MIN_RETRY_SECONDS = 1.0
 LONGEST_RETRY_SECONDS = 120.0
 
 
-class Gate:
+class AdmissionDecider:
     """Decides whether a job is taken; nothing is changed by it."""
 
-    def decide(self, job: HandIn, view: LoadView, now: float) -> Verdict:
+    def decide(self, job: SubmittedJob, view: LoadView, now: float) -> Verdict:
         """Return the verdict on a job.
 
         ``retry_after_seconds`` of a refusal is when what goes before the job is through.
@@ -47,12 +47,12 @@
         best_end = max(ahead.best_seconds, job.advice_seconds) + work.best_seconds
         worst_end = max(ahead.worst_seconds, job.advice_seconds) + work.worst_seconds
         is_possible = best_end <= inputs.patience_seconds
-        if is_possible and job.is_awaited:
+        if is_possible and job.is_timely_retry:
             return Admit(inputs)
-        is_owed = not job.rank.is_beyond_share
-        if is_owed and best_end <= job.on_time_until - now:
+        is_entitled = not job.rank.is_over_share
+        if is_entitled and best_end <= job.on_time_until - now:
             return Admit(inputs)
-        may_be_taken = worst_end <= inputs.patience_seconds or (is_possible and is_owed)
+        may_be_taken = worst_end <= inputs.patience_seconds or (is_possible and is_entitled)
         if may_be_taken and not view.pushes_promised(job):
             return Admit(inputs)
         if _can_begin_now(job, view, inputs):
@@ -61,14 +61,14 @@
         return Refuse(reason, _retry_seconds(job, ahead), inputs)
 
 
-def closed_seconds(job: HandIn, verdict: Refuse) -> float:
+def closed_seconds(job: SubmittedJob, verdict: Refuse) -> float:
     """Return for how long others like a job would be refused, were each handed in anew.
 
     One that is refused because it would push late jobs has to wait until those are through.
     """
     inputs = verdict.inputs
     is_in_doubt = verdict.reason is RefusalReason.IN_DOUBT
-    if is_in_doubt and not job.rank.is_beyond_share:
+    if is_in_doubt and not job.rank.is_over_share:
         return verdict.retry_after_seconds
     # Its own width closes nothing: narrower jobs of its queue may be taken.
     ahead, taken = inputs.ahead_seconds, job.chain_median_seconds
@@ -78,26 +78,26 @@
     return max(ahead, inputs.advice_seconds) + taken - patience
 
 
-def _can_begin_now(job: HandIn, view: LoadView, inputs: VerdictInputs) -> bool:
+def _can_begin_now(job: SubmittedJob, view: LoadView, inputs: VerdictInputs) -> bool:
     """Return whether free workers could run a job, and advice about them comes in time."""
     time_for_advice = inputs.patience_seconds - job.chain_median_seconds
     is_advised = job.advice_seconds <= max(time_for_advice, job.objective_seconds)
     return is_advised and view.has_room_for(job)
 
 
-def _retry_seconds(job: HandIn, ahead: Ahead) -> float:
+def _retry_seconds(job: SubmittedJob, ahead: Ahead) -> float:
     """Return when what goes before a job is through."""
     seconds = max(ahead.best_seconds, job.advice_seconds)
-    return min(max(seconds, SHORTEST_RETRY_SECONDS), LONGEST_RETRY_SECONDS)
+    return min(max(seconds, MIN_RETRY_SECONDS), LONGEST_RETRY_SECONDS)
 
 
-def _inputs(job: HandIn, ahead: Ahead, view: LoadView, now: float) -> VerdictInputs:
+def _inputs(job: SubmittedJob, ahead: Ahead, view: LoadView, now: float) -> VerdictInputs:
     return VerdictInputs(
         ahead_seconds=ahead.best_seconds,
         advice_seconds=job.advice_seconds,
         work_median_seconds=job.chain_median_seconds,
         work_upper_seconds=job.chain_upper_seconds,
-        patience_seconds=job.last_use_at - now,
+        patience_seconds=job.expires_at - now,
         view_age_seconds=now - view.made_at,
         ahead_upper_seconds=ahead.worst_seconds,
     )
--- a/src/onyxspoke/core/admission/room_curve.py
+++ b/src/onyxspoke/core/admission/free_capacity_curve.py
@@ -9,7 +9,7 @@
 ROUNDING_SHARE = 1e-9
 
 
-class RoomCurve:
+class FreeCapacityCurve:
     """How much work room that is free, or comes free, has taken up by when.
 
     Amounts are shares of all that there is: whole room does one share-second of work a second.
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from onyxspoke.core.admission.hand_in import HandIn, StepWork
-from onyxspoke.core.admission.lane import Ahead, Lane, share_of
+from onyxspoke.core.admission.resource_pool import Ahead, ResourcePool, share_of
+from onyxspoke.core.admission.submitted_job import StepWork, SubmittedJob
 from onyxspoke.core.jobs.amounts import minus, slots_within, times
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.tenants.policy import TenantName
@@ -27,30 +27,30 @@
     ----------
     made_at : float
         When what waits was looked at, in the holder's seconds.
-    lanes : dict of str to Lane
+    pools : dict of str to ResourcePool
         By service; one without workers is not there.
     quotas : dict of TenantName to Needs
         Of tenants that have one.
-    tenant_lanes : dict of TenantName to Lane
+    tenant_lanes : dict of TenantName to ResourcePool
         Of those.
     free : dict of str to list of FreeRoom
         By service, the workers that have room, with the most processors first.
     """
 
     made_at: float
-    lanes: dict[str, Lane]
+    pools: dict[str, ResourcePool]
     quotas: dict[TenantName, Needs] = field(default_factory=dict)
-    tenant_lanes: dict[TenantName, Lane] = field(default_factory=dict)
+    tenant_lanes: dict[TenantName, ResourcePool] = field(default_factory=dict)
     free: dict[str, list[FreeRoom]] = field(default_factory=dict)
     #: What was taken in since and has no room yet, by service.
     _added: dict[str, Needs] = field(default_factory=dict)
 
-    def ahead_of(self, job: HandIn) -> Ahead | None:
+    def ahead_of(self, job: SubmittedJob) -> Ahead | None:
         """Return when a job could begin, or nothing where that is not known."""
-        lane = self.lanes.get(job.service)
-        if lane is None:
+        pool = self.pools.get(job.service)
+        if pool is None:
             return None
-        ahead = lane.ahead_of(job)
+        ahead = pool.ahead_of(job)
         own = self.tenant_lanes.get(job.tenant)
         if own is None:
             return ahead
@@ -58,30 +58,30 @@
         best = max(ahead.best_seconds, of_own.best_seconds)
         return Ahead(best, max(ahead.worst_seconds, of_own.worst_seconds))
 
-    def is_held_by_quota(self, job: HandIn) -> bool:
+    def is_limited_by_quota(self, job: SubmittedJob) -> bool:
         """Return whether a job waits for its tenant's quota rather than for workers."""
         own = self.tenant_lanes.get(job.tenant)
-        lane = self.lanes.get(job.service)
-        if own is None or lane is None:
+        pool = self.pools.get(job.service)
+        if own is None or pool is None:
             return False
-        return own.ahead_of(job).best_seconds > lane.ahead_of(job).best_seconds
+        return own.ahead_of(job).best_seconds > pool.ahead_of(job).best_seconds
 
-    def work_seconds(self, job: HandIn) -> Ahead:
+    def work_seconds(self, job: SubmittedJob) -> Ahead:
         """Return how long a job itself takes: its longest chain, or more where it is wide."""
         best, worst = job.chain_median_seconds, job.chain_upper_seconds
-        for lane in (self.lanes.get(job.service), self.tenant_lanes.get(job.tenant)):
-            if lane is not None:
-                work = lane.work_of(job)
-                best = max(best, work.low / lane.spare_factor)
+        for pool in (self.pools.get(job.service), self.tenant_lanes.get(job.tenant)):
+            if pool is not None:
+                work = pool.work_estimate(job)
+                best = max(best, work.low / pool.spare_factor)
                 worst = max(worst, work.high)
         return Ahead(best, worst)
 
-    def add(self, job: HandIn) -> None:
+    def add(self, job: SubmittedJob) -> None:
         """Count a job that was taken in since."""
-        lane = self.lanes.get(job.service)
-        if lane is None:
+        pool = self.pools.get(job.service)
+        if pool is None:
             return
-        lane.add(job)
+        pool.add(job)
         own = self.tenant_lanes.get(job.tenant)
         if own is not None:
             own.add(job)
@@ -91,12 +91,12 @@
                 added = minus(added, times(step.needs, -step.tasks))
         self._added[job.service] = added
 
-    def pushes_promised(self, job: HandIn) -> bool:
+    def pushes_promised(self, job: SubmittedJob) -> bool:
         """Return whether a late job that was taken would come too late for this one."""
-        lane = self.lanes.get(job.service)
-        return lane is not None and lane.pushes_promised(job)
+        pool = self.pools.get(job.service)
+        return pool is not None and pool.pushes_promised(job)
 
-    def has_room_for(self, job: HandIn) -> bool:
+    def has_room_for(self, job: SubmittedJob) -> bool:
         """Return whether every task that a job begins with has room now."""
         workers = self.free.get(job.service, [])
         taken = self._added.get(job.service, Needs())
@@ -104,7 +104,7 @@
             _fits(step, workers, taken) for step in job.steps if step.is_first
         ) and self._is_within_quota(job)
 
-    def _is_within_quota(self, job: HandIn) -> bool:
+    def _is_within_quota(self, job: SubmittedJob) -> bool:
         own = self.tenant_lanes.get(job.tenant)
         if own is None:
             return True
--- a/src/onyxspoke/core/admission/view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -8,11 +8,11 @@
 from typing import NamedTuple
 
 from onyxspoke.core.admission.arrivals import ArrivalMeter, RankClass, class_of
-from onyxspoke.core.admission.hand_in import low_seconds
-from onyxspoke.core.admission.lane import Lane, RoomHeld, share_of
+from onyxspoke.core.admission.late_job_margins import LateWork
 from onyxspoke.core.admission.load_view import FreeRoom, LoadView
-from onyxspoke.core.admission.promises import LateWork
-from onyxspoke.core.admission.waiting_line import HORIZONS, WaitingWork
+from onyxspoke.core.admission.resource_pool import ResourcePool, RoomHeld, share_of
+from onyxspoke.core.admission.submitted_job import low_seconds
+from onyxspoke.core.admission.waiting_work import HORIZONS, WaitingWork
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.estimates.expected import Expected
 from onyxspoke.core.jobs.amounts import plus
@@ -20,12 +20,12 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.jobs.states import RunState
-from onyxspoke.core.placement.forecast import TELLING_PERCENT, remaining_seconds
+from onyxspoke.core.placement.forecast import RELIABLE_PROGRESS_PERCENT, remaining_seconds
 from onyxspoke.core.placement.queue_order import (
     EXPIRY_FACTOR,
     Lateness,
     StepRank,
-    step_rank_of,
+    step_rank_in_queue,
 )
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerListing
@@ -51,7 +51,7 @@
     last_start_at: float
 
 
-class Load(NamedTuple):
+class LoadInputs(NamedTuple):
     """What a view is made from.
 
     Attributes
@@ -60,7 +60,7 @@
         How long a run takes to give way.
     arrivals : ArrivalMeter
         What is taken in lately.
-    awaited : iterable of AwaitedWork
+    expected_retries : iterable of AwaitedWork
         Of refused jobs that are to come back.
     """
 
@@ -70,7 +70,7 @@
     durations: Durations
     stop_seconds: float
     arrivals: ArrivalMeter
-    awaited: Iterable[AwaitedWork] = ()
+    expected_retries: Iterable[AwaitedWork] = ()
 
 
 class _Waiting(NamedTuple):
@@ -84,14 +84,14 @@
     slack_seconds: float
 
 
-def build_view(load: Load, now: float) -> LoadView:
+def build_load_view(load: LoadInputs, now: float) -> LoadView:
     """Return the load as it is now."""
     builder = _Builder(load, now)
     return builder.build()
 
 
 class _Builder:
-    def __init__(self, load: Load, now: float) -> None:
+    def __init__(self, load: LoadInputs, now: float) -> None:
         self._load = load
         self._now = now
         self._expect = _remember(load.durations)
@@ -106,8 +106,8 @@
             self._take_step(step)
         held = [run for worker in self._load.table.workers.values() for run in worker.runs.values()]
         tenant_lanes = self._make_tenant_lanes(held)
-        lanes, free = self._make_lanes()
-        return LoadView(self._now, lanes, self._quotas, tenant_lanes, free)
+        pools, free = self._make_lanes()
+        return LoadView(self._now, pools, self._quotas, tenant_lanes, free)
 
     # What waits
 
@@ -117,13 +117,13 @@
         spec = step.job.spec
         queue = self._load.policy.queue_of(spec)
         expected = self._expect(spec.queue.name, spec.tenant, step.spec.estimated_ms)
-        placed_rank = step_rank_of(step, queue, self._now)
+        placed_rank = step_rank_in_queue(step, queue, self._now)
         rank = promised_rank(placed_rank)
         needs = step.needs
         slack = math.inf
         if placed_rank.lateness is Lateness.LATE:
-            last_use_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
-            slack = last_use_at - step.expected_chain_seconds - self._now
+            expires_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
+            slack = expires_at - step.expected_chain_seconds - self._now
         low, high = low_seconds(expected), max(0.0, expected.upper_seconds)
         waiting = _Waiting(rank, needs, len(step.waiting), low, high, slack)
         if spec.tenant in self._quotas:
@@ -135,32 +135,34 @@
 
     # Lanes
 
-    def _make_lanes(self) -> tuple[dict[str, Lane], dict[str, list[FreeRoom]]]:
+    def _make_lanes(self) -> tuple[dict[str, ResourcePool], dict[str, list[FreeRoom]]]:
         by_service: dict[str, list[Worker]] = {}
         for worker in self._load.table.workers.values():
-            if worker.contact is not WorkerContact.OVER and worker.listing is WorkerListing.READY:
+            if worker.contact is not WorkerContact.ENDED and worker.listing is WorkerListing.READY:
                 by_service.setdefault(worker.record.service, []).append(worker)
-        lanes = {}
+        pools = {}
         free = {}
         for service, workers in by_service.items():
-            lane = self._make_lane(service, workers)
-            if lane is not None:
-                lanes[service] = lane
+            pool = self._make_lane(service, workers)
+            if pool is not None:
+                pools[service] = pool
                 free[service] = self._free_room(service)
-        return lanes, free
+        return pools, free
 
-    def _make_lane(self, service: str, workers: list[Worker]) -> Lane | None:
-        in_use = [worker for worker in workers if worker.contact is WorkerContact.SETTLED]
+    def _make_lane(self, service: str, workers: list[Worker]) -> ResourcePool | None:
+        in_use = [worker for worker in workers if worker.contact is WorkerContact.RECONCILED]
         total = _sum_capacity(in_use)
         if not any(total):
             return None
         works, late = _line_work(self._by_service.get(service, []), total)
-        for awaited in self._load.awaited:
-            if awaited.service == service:
-                works.append(_awaited_work(awaited))
-                late.setdefault(class_of(awaited.rank), []).append(self._late(awaited))
-        others = [worker for worker in workers if worker.contact is not WorkerContact.SETTLED]
-        return Lane(
+        for expected_retries in self._load.expected_retries:
+            if expected_retries.service == service:
+                works.append(_awaited_work(expected_retries))
+                late.setdefault(class_of(expected_retries.rank), []).append(
+                    self._late(expected_retries)
+                )
+        others = [worker for worker in workers if worker.contact is not WorkerContact.RECONCILED]
+        return ResourcePool(
             total=total,
             works=sorted(works, key=itemgetter(0)),
             held=self._held_on(in_use, total),
@@ -171,11 +173,11 @@
             coming=self._load.arrivals.rates(service, self._now),
         )
 
-    def _late(self, awaited: AwaitedWork) -> LateWork:
+    def _late(self, expected_retries: AwaitedWork) -> LateWork:
         return LateWork(
-            slack_seconds=awaited.last_start_at - self._now,
-            work=awaited.share_seconds,
-            begins_in_seconds=awaited.due_at - self._now,
+            slack_seconds=expected_retries.last_start_at - self._now,
+            work=expected_retries.share_seconds,
+            begins_in_seconds=expected_retries.due_at - self._now,
         )
 
     def _free_room(self, service: str) -> list[FreeRoom]:
@@ -187,17 +189,19 @@
         free.sort(key=lambda worker: -worker.room.processors_milli)
         return free
 
-    def _make_tenant_lanes(self, runs: list[Run]) -> dict[TenantName, Lane]:
+    def _make_tenant_lanes(self, runs: list[Run]) -> dict[TenantName, ResourcePool]:
         held: dict[TenantName, list[RoomHeld]] = {}
         for run in runs:
             tenant = run.task.step.job.spec.tenant
             if tenant in self._quotas:
                 held.setdefault(tenant, []).append(self._held(run, self._quotas[tenant]))
-        lanes = {}
+        pools = {}
         for tenant, quota in self._quotas.items():
             works, _late = _line_work(self._by_tenant.get(tenant, []), quota)
-            lanes[tenant] = Lane(quota, sorted(works, key=itemgetter(0)), held.get(tenant, []))
-        return lanes
+            pools[tenant] = ResourcePool(
+                quota, sorted(works, key=itemgetter(0)), held.get(tenant, [])
+            )
+        return pools
 
     def _held_on(self, workers: list[Worker], total: Needs) -> list[RoomHeld]:
         return [self._held(run, total) for worker in workers for run in worker.runs.values()]
@@ -225,8 +229,8 @@
         whole = self._expect(job.queue.name, job.tenant, spec.estimated_ms).median_seconds
         if not run.confirmed_at:
             return whole
-        if run.percent >= TELLING_PERCENT:
-            whole = (run.moved_at - run.confirmed_at) / run.percent * _FULL_PERCENT
+        if run.percent >= RELIABLE_PROGRESS_PERCENT:
+            whole = (run.progressed_at - run.confirmed_at) / run.percent * _FULL_PERCENT
         return max(0.0, whole - (self._now - run.confirmed_at))
 
 
@@ -239,7 +243,7 @@
     if rank.lateness is Lateness.LATE:
         return StepRank(
             False,
-            rank.is_beyond_share,
+            rank.is_over_share,
             rank.priority,
             Lateness.ON_TIME,
             rank.latest_start,
@@ -248,9 +252,9 @@
     return rank
 
 
-def _awaited_work(awaited: AwaitedWork) -> WaitingWork:
+def _awaited_work(expected_retries: AwaitedWork) -> WaitingWork:
     """Return the work of a job that may not come: at least none, at most all of it."""
-    return WaitingWork(awaited.rank, awaited.share_seconds, 0.0, 1.0)
+    return WaitingWork(expected_retries.rank, expected_retries.share_seconds, 0.0, 1.0)
 
 
 def _line_work(
--- a/src/onyxspoke/core/admission/closings.py
+++ b/src/onyxspoke/core/admission/queue_closures.py
@@ -16,7 +16,7 @@
 OPEN_AGAIN_SECONDS = 1.0
 
 
-class Scope(NamedTuple):
+class ClosureScope(NamedTuple):
     """What is closed: a queue, for one tenant's jobs beyond its share, or for everybody's."""
 
     queue: str
@@ -30,13 +30,13 @@
     refused_at: float
 
 
-class Closings:
+class QueueClosures:
     """Follows refusals and tells which queues are closed."""
 
     def __init__(self) -> None:
-        self._closings: dict[Scope, _Closing] = {}
+        self._closings: dict[ClosureScope, _Closing] = {}
 
-    def note_refused(self, scope: Scope, seconds: float, now: float) -> bool:
+    def note_refused(self, scope: ClosureScope, seconds: float, now: float) -> bool:
         """A job was refused, and others like it for so long; return whether that is new."""
         until = now + min(seconds, LONGEST_CLOSING_SECONDS)
         closing = self._closings.get(scope)
@@ -47,17 +47,17 @@
         closing.refused_at = now
         return False
 
-    def note_taken(self, scope: Scope, now: float) -> None:
+    def note_admitted(self, scope: ClosureScope, now: float) -> None:
         """A job was taken: it is not closed any more."""
         closing = self._closings.get(scope)
         if closing is not None:
             closing.closed_until = min(closing.closed_until, now)
 
-    def closed_scopes(self, now: float) -> list[Scope]:
+    def closed_scopes(self, now: float) -> list[ClosureScope]:
         """Return what is closed for some time to come."""
         return [scope for scope, closing in self._closings.items() if closing.closed_until > now]
 
-    def take_opened(self, now: float) -> list[tuple[Scope, float]]:
+    def pop_reopened(self, now: float) -> list[tuple[ClosureScope, float]]:
         """Return what is open again since the last call, and for how long it was closed."""
         opened = []
         for scope, closing in list(self._closings.items()):
--- a/src/onyxspoke/core/admission/lane.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -13,22 +13,22 @@
     class_of,
     slowed,
 )
-from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.promises import LateWork, Promises
-from onyxspoke.core.admission.room_curve import RoomCurve
-from onyxspoke.core.admission.waiting_line import (
+from onyxspoke.core.admission.free_capacity_curve import FreeCapacityCurve
+from onyxspoke.core.admission.late_job_margins import LateWork, Promises
+from onyxspoke.core.admission.submitted_job import SubmittedJob
+from onyxspoke.core.admission.waiting_work import (
     HORIZONS,
-    WaitingLine,
     WaitingWork,
+    WaitingWorkQueue,
     WorkAhead,
     horizon_of,
 )
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
-from onyxspoke.core.placement.reservations import HELD_SHARE
+from onyxspoke.core.placement.reservations import MAX_HELD_CAPACITY_SHARE
 
 #: Of the room, what waiting gangs may hold does no work; so much does in the worst case.
-USED_SHARE = 1.0 - HELD_SHARE
+USED_SHARE = 1.0 - MAX_HELD_CAPACITY_SHARE
 
 
 def share_of(needs: Needs, total: Needs) -> float:
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class ResourcePool:
     """Something that work passes through in order: the room of a service, or a tenant's quota.
 
     Attributes
@@ -99,13 +99,13 @@
     late: dict[RankClass, list[LateWork]] = field(default_factory=dict)
     #: Taken in since.
     _added: list[WaitingWork] = field(default_factory=list)
-    _lines: dict[float, WaitingLine] = field(default_factory=dict)
+    _lines: dict[float, WaitingWorkQueue] = field(default_factory=dict)
     _promises: dict[RankClass, Promises] = field(default_factory=dict)
     #: The job whose work was worked out last.
-    _worked_out: tuple[HandIn, WorkAhead] | None = None
-    _curves: dict[tuple[int, bool], RoomCurve] = field(default_factory=dict)
+    _worked_out: tuple[SubmittedJob, WorkAhead] | None = None
+    _curves: dict[tuple[int, bool], FreeCapacityCurve] = field(default_factory=dict)
 
-    def ahead_of(self, job: HandIn) -> Ahead:
+    def ahead_of(self, job: SubmittedJob) -> Ahead:
         """Return when a job could begin."""
         rank = job.rank
         patience = EXPIRY_FACTOR * job.objective_seconds
@@ -123,19 +123,19 @@
         worst = slowed(max(least, worst), coming)
         return Ahead(best, max(best, worst))
 
-    def _narrowest(self, job: HandIn) -> float:
+    def _narrowest(self, job: SubmittedJob) -> float:
         """Return the share that one task of what a job begins with takes."""
         shares = [share_of(step.needs, self.total) for step in job.steps if step.is_first]
         return min(shares, default=0.0)
 
-    def left_for(self, rank: StepRank) -> float:
+    def share_left_for(self, rank: StepRank) -> float:
         """Return which share of the room is left by what comes in and goes first."""
         return 1.0 - min(MOST_FILLED, self._coming_before(class_of(rank)))
 
     def _coming_before(self, own: RankClass) -> float:
         return sum(rate for other, rate in self.coming.items() if other < own)
 
-    def pushes_promised(self, job: HandIn) -> bool:
+    def pushes_promised(self, job: SubmittedJob) -> bool:
         """Return whether a late job that was taken would come too late for this one.
 
         A forecast is no finer than a task is long, and so is what is left between them.
@@ -143,22 +143,22 @@
         promises = self._promises_of(class_of(job.rank))
         if promises is None:
             return False
-        work = self.work_of(job)
+        work = self.work_estimate(job)
         return promises.are_pushed_by(work.low + work.task_seconds)
 
-    def _line(self, horizon: float) -> WaitingLine:
+    def _line(self, horizon: float) -> WaitingWorkQueue:
         line = self._lines.get(horizon)
         if line is None:
-            line = self._lines[horizon] = WaitingLine(self.works, horizon)
+            line = self._lines[horizon] = WaitingWorkQueue(self.works, horizon)
             for work in self._added:
                 line.add(work)
         return line
 
-    def add(self, job: HandIn) -> None:
+    def add(self, job: SubmittedJob) -> None:
         """Count a job that was taken in since."""
         promises = self._promises_of(class_of(job.rank))
         if promises is not None:
-            promises.add(self.work_of(job).low)
+            promises.add(self.work_estimate(job).low)
         for step in job.steps:
             share = share_of(step.needs, self.total) * step.tasks
             work = WaitingWork(job.rank, share, step.low_seconds, step.upper_seconds)
@@ -176,7 +176,7 @@
         return promises
 
     def _make_promises(self, own: RankClass, late: list[LateWork]) -> Promises:
-        last = StepRank(False, own.is_beyond_share, own.priority, Lateness.EXPIRED, 0.0, 0)
+        last = StepRank(False, own.is_over_share, own.priority, Lateness.EXPIRED, 0.0, 0)
         waiting = sum(item.work for item in late if not item.begins_in_seconds)
         on_time = self._line(HORIZONS[-1]).ahead_of(last).low - waiting
         curve = self._curve(own.priority, is_in_order=True)
@@ -187,13 +187,13 @@
 
         return Promises(late, on_time, seconds_until)
 
-    def work_of(self, job: HandIn) -> WorkAhead:
+    def work_estimate(self, job: SubmittedJob) -> WorkAhead:
         """Return the work of a job, and the length of its longest task."""
         if self._worked_out is None or self._worked_out[0] is not job:
-            self._worked_out = (job, self.work_within(job, HORIZONS[-1]))
+            self._worked_out = (job, self.work_estimate_within(job, HORIZONS[-1]))
         return self._worked_out[1]
 
-    def work_within(self, job: HandIn, horizon: float) -> WorkAhead:
+    def work_estimate_within(self, job: SubmittedJob, horizon: float) -> WorkAhead:
         """Return the same, with no task counted for longer than so many seconds."""
         low = high = longest = 0.0
         for step in job.steps:
@@ -203,7 +203,7 @@
             longest = max(longest, min(step.median_seconds, horizon))
         return WorkAhead(low, high, longest)
 
-    def _curve(self, priority: int, *, is_in_order: bool = False) -> RoomCurve:
+    def _curve(self, priority: int, *, is_in_order: bool = False) -> FreeCapacityCurve:
         """Return how room comes free for a queue; of all that would be there in the best case.
 
         A worker that was not heard yet may stand free, and be heard the next moment.
@@ -216,7 +216,7 @@
             curve = self._curves[priority, is_in_order] = self._make_curve(priority, total, held)
         return curve
 
-    def _make_curve(self, priority: int, total: float, held: list[RoomHeld]) -> RoomCurve:
+    def _make_curve(self, priority: int, total: float, held: list[RoomHeld]) -> FreeCapacityCurve:
         """Return how room comes free for a queue: later ones' runs give way where they can."""
         ends = []
         free = total
@@ -227,4 +227,4 @@
                 seconds = min(seconds, self.stop_seconds)
             if seconds < math.inf:
                 ends.append((seconds, run.share))
-        return RoomCurve(free, ends)
+        return FreeCapacityCurve(free, ends)
--- a/src/onyxspoke/core/admission/slots.py
+++ b/src/onyxspoke/core/admission/retry_schedule.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 #: Work that every second has room for, in share-seconds: all that a service does in it.
-WHOLE_SECOND = 1.0
+WORK_PER_SECOND = 1.0
 #: What is not urgent is given so much of it, so that the urgent, and who is refused once more, find
 #: some of each second.
-PATIENT_SHARE = 0.75
+NON_URGENT_WORK_PER_SECOND = 0.75
 #: Nobody is told to come back later than this, in seconds.
 LONGEST_WAIT_SECONDS = 120
 
@@ -26,13 +26,13 @@
     parts: tuple[tuple[int, float], ...]
 
 
-class ServedSeconds:
+class RetrySchedule:
     """Work for which each second ahead is kept, by service."""
 
     def __init__(self) -> None:
         self._kept: dict[str, dict[int, float]] = {}
 
-    def keep_slot(
+    def reserve_slot(
         self,
         service: str,
         work: float,
@@ -73,12 +73,12 @@
             else:
                 kept.pop(second, None)
 
-    def kept_work(self, service: str, now: float) -> float:
+    def reserved_work(self, service: str, now: float) -> float:
         """Return the work for which seconds ahead are kept, in share-seconds."""
         kept = self._kept.get(service, {})
         return sum(work for second, work in kept.items() if second > now)
 
-    def kept_in(self, service: str, second: int) -> float:
+    def reserved_work_in(self, service: str, second: int) -> float:
         """Return the work for which a second is kept, in share-seconds."""
         return self._kept.get(service, {}).get(second, 0.0)
 
--- a/src/onyxspoke/core/admission/hand_in.py
+++ b/src/onyxspoke/core/admission/submitted_job.py
@@ -9,7 +9,7 @@
 from onyxspoke.core.jobs.amounts import times
 from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy
 from onyxspoke.core.placement.queue_order import (
-    CERTAIN_SHARE,
+    CERTAIN_ESTIMATE_SHARE,
     EXPIRY_FACTOR,
     Lateness,
     StepRank,
@@ -41,12 +41,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class HandIn:
+class SubmittedJob:
     """A job that is handed in.
 
     Attributes
     ----------
-    first_at : float
+    first_submitted_at : float
         When it was handed in for the first time, in the holder's seconds.
     objective_seconds : float
         Within how long it should be done; 0 or less where nothing is asked for.
@@ -54,7 +54,7 @@
         The place in the waiting line that its first step would take.
     has_end : bool
         It is of use once it is done: no repetitions, no tasks that last.
-    is_awaited : bool
+    is_timely_retry : bool
         It was refused, and comes back when it was told to.
     advice_seconds : float
         Until the line for advice has answered about its first step.
@@ -66,24 +66,24 @@
     queue: str
     tenant: str
     rank: StepRank
-    first_at: float
+    first_submitted_at: float
     objective_seconds: float
     steps: tuple[StepWork, ...]
     chain_median_seconds: float
     chain_upper_seconds: float
     has_end: bool = True
-    is_awaited: bool = False
+    is_timely_retry: bool = False
     advice_seconds: float = 0.0
 
     @property
     def on_time_until(self) -> float:
         """The holder's second until which its outcome is on time."""
-        return self.first_at + self.objective_seconds
+        return self.first_submitted_at + self.objective_seconds
 
     @property
-    def last_use_at(self) -> float:
+    def expires_at(self) -> float:
         """The holder's second after which its outcome is of no use to its caller."""
-        return self.first_at + EXPIRY_FACTOR * self.objective_seconds
+        return self.first_submitted_at + EXPIRY_FACTOR * self.objective_seconds
 
     def is_too_wide(self, quota: Needs) -> bool:
         """Return whether a quota, of which 0 sets no limit, certainly never lets it run."""
@@ -96,36 +96,36 @@
 
 def low_seconds(expected: Expected) -> float:
     """Return how long a task takes at least, as the order of what waits counts it, too."""
-    return CERTAIN_SHARE * max(0.0, expected.median_seconds)
+    return CERTAIN_ESTIMATE_SHARE * max(0.0, expected.median_seconds)
 
 
-def describe_hand_in(
+def describe_submitted_job(
     spec: JobSpec,
     queue: QueuePolicy,
     durations: Durations,
-    first_at: float,
+    first_submitted_at: float,
     *,
-    is_awaited: bool = False,
-) -> HandIn:
+    is_timely_retry: bool = False,
+) -> SubmittedJob:
     """Return what the decision needs of a job."""
     steps = tuple(_step_works(spec, durations))
     median, upper = _chain(spec, steps)
     # By the work as it is known, as the order of what waits has it.
     objective = spec.queue.stretch * median + spec.queue.target_latency_ms / _MILLISECONDS
-    latest_start = first_at + objective - median
-    rank = StepRank(False, spec.is_beyond_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
-    return HandIn(
+    latest_start = first_submitted_at + objective - median
+    rank = StepRank(False, spec.is_over_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
+    return SubmittedJob(
         service=queue.service,
         queue=queue.name,
         tenant=spec.tenant,
         rank=rank,
-        first_at=first_at,
+        first_submitted_at=first_submitted_at,
         objective_seconds=objective,
         steps=steps,
         chain_median_seconds=median,
         chain_upper_seconds=upper,
         has_end=not spec.schedule.count and not any(step.long_running for step in spec.steps),
-        is_awaited=is_awaited,
+        is_timely_retry=is_timely_retry,
     )
 
 
--- a/src/onyxspoke/core/admission/summary.py
+++ b/src/onyxspoke/core/admission/summary.py
@@ -9,7 +9,7 @@
 import msgspec
 
 #: A summary takes at most so many bytes of a heartbeat.
-SUMMARY_BYTES = 1_024
+MAX_SUMMARY_BYTES = 1_024
 _encoder = msgspec.msgpack.Encoder()
 #: The head of a long array over that of a short one.
 _ARRAY_HEAD_BYTES = 4
@@ -47,22 +47,24 @@
     notices: tuple[QueueNotice, ...] = ()
 
 
-def size_of_summary(summary: AdmissionSummary) -> int:
+def summary_size_bytes(summary: AdmissionSummary) -> int:
     """Return how many bytes a summary takes."""
     return len(_encoder.encode(summary))
 
 
-def bound_summary(summary: AdmissionSummary, most_bytes: int = SUMMARY_BYTES) -> AdmissionSummary:
+def truncate_summary(
+    summary: AdmissionSummary, most_bytes: int = MAX_SUMMARY_BYTES
+) -> AdmissionSummary:
     """Return a summary of at most so many bytes.
 
     Queues that are closed for longest are told first; one that is not told counts as open.
     """
-    if size_of_summary(summary) <= most_bytes:
+    if summary_size_bytes(summary) <= most_bytes:
         return summary
     notices = sorted(summary.notices, key=lambda notice: -notice.closed_seconds)
     kept: list[QueueNotice] = []
     # An array of many needs a longer head than one of few.
-    size = size_of_summary(msgspec.structs.replace(summary, notices=())) + _ARRAY_HEAD_BYTES
+    size = summary_size_bytes(msgspec.structs.replace(summary, notices=())) + _ARRAY_HEAD_BYTES
     for notice in notices:
         length = len(_encoder.encode(notice))
         if size + length <= most_bytes:
--- a/src/onyxspoke/core/admission/board.py
+++ b/src/onyxspoke/core/admission/summary_cache.py
@@ -40,7 +40,7 @@
     made_at: float
 
 
-class AdmissionBoard:
+class AdmissionSummaryCache:
     """The newest summary of each shard.
 
     Parameters
@@ -64,7 +64,7 @@
         if entry is not None and entry.summary.token < token:
             del self._entries[shard]
 
-    def take(self, shard: ShardId, summary: AdmissionSummary, now: float) -> None:
+    def update(self, shard: ShardId, summary: AdmissionSummary, now: float) -> None:
         """Take a summary in, unless it is a former holder's or older than the one that is known."""
         age = summary.age_seconds
         if summary.token < self._tokens.get(shard, -1) or not 0.0 <= age < math.inf:
--- a/src/onyxspoke/core/admission/verdict.py
+++ b/src/onyxspoke/core/admission/verdict.py
@@ -15,13 +15,14 @@
 
     ``TOO_LATE``: even the best case ends after its caller's last moment of use.  ``IN_DOUBT``: the
     worst case does, and its tenant is owed nothing for it, or a job that was taken before would
-    come too late for it.  ``STORE_AWAY``: nothing can be promised, because the store does not
+    come too late for it.  ``STORE_UNREACHABLE``: nothing can be promised, because the store does
+    not
     answer.
     """
 
     TOO_LATE = "too_late"
     IN_DOUBT = "in_doubt"
-    STORE_AWAY = "store_in_trouble"
+    STORE_UNREACHABLE = "store_in_trouble"
     #: No holder can be reached, and the last one told its entries that the queue is closed.
     CLOSED = "queue_closed"
 
@@ -33,7 +34,7 @@
 )
 
 
-def is_for_load(reason: str) -> bool:
+def is_load_refusal(reason: str) -> bool:
     """Return whether a refusal's reason, as a reply carries it, is load and not trouble."""
     return reason in _LOAD_REASONS
 
--- a/src/onyxspoke/core/admission/waiting_line.py
+++ b/src/onyxspoke/core/admission/waiting_work.py
@@ -42,7 +42,7 @@
     return HORIZONS[min(bisect_left(HORIZONS, seconds), len(HORIZONS) - 1)]
 
 
-class WaitingLine:
+class WaitingWorkQueue:
     """Work in the order of placement, and what was added since it was sorted.
 
     Parameters
--- a/src/onyxspoke/core/shard/estimates_keeper.py
+++ b/src/onyxspoke/core/shard/estimates_manager.py
@@ -17,7 +17,7 @@
 MINIMUM_RECORD_INTERVAL_SECONDS = 5.0
 
 
-class EstimatesKeeper:
+class EstimatesManager:
     """Updates and records the learned estimates.
 
     Parameters
@@ -32,10 +32,10 @@
         self._updated_at = 0.0
         self._has_large_change = False
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Update the learned estimates if an update is due, and log large changes."""
         durations = self._context.durations
-        durations.watched_since = max(durations.watched_since, self._context.paused_until)
+        durations.watched_since = max(durations.watched_since, self._context.stall_ended_at)
         if not durations.keep(now):
             return
         self._updated_at = now
@@ -44,7 +44,7 @@
             self._log_change(change)
 
     @property
-    def wants_append(self) -> bool:
+    def needs_append(self) -> bool:
         """Whether a large change is to be recorded without waiting for another append."""
         return self._has_large_change and self._is_due
 
--- a/src/onyxspoke/core/shard/orders.py
+++ b/src/onyxspoke/core/shard/orders.py
@@ -15,7 +15,8 @@
 
     ``FENCED``: the worker has seen a higher token.  ``STALE``: the run's number is not higher than
     that of a run that was stopped or ended there.  ``EXPIRED``: the order arrived after its
-    validity had ended.  ``OTHER_LIFE``: another incarnation of the worker answered than the one
+    validity had ended.  ``OTHER_INCARNATION``: another incarnation of the worker answered than the
+    one
     that was addressed.  ``NO_ANSWER``: the order may have been executed, or may still be.
     ``NOT_SENT``: the order never left this machine.
     """
@@ -24,16 +25,16 @@
     FENCED = "fenced"
     STALE = "stale"
     EXPIRED = "expired"
-    NO_ROOM = "no_room"
+    INSUFFICIENT_CAPACITY = "no_room"
     NO_TICKET = "no_ticket"
     INVALID = "invalid"
     UNHEALTHY = "unhealthy"
-    OTHER_LIFE = "other_life"
+    OTHER_INCARNATION = "other_life"
     NO_ANSWER = "no_answer"
     NOT_SENT = "not_sent"
 
     @property
-    def is_fence(self) -> bool:
+    def is_fenced(self) -> bool:
         """Whether the worker has seen a higher token."""
         return self is OrderOutcome.FENCED
 
@@ -44,11 +45,11 @@
         OrderOutcome.FENCED,
         OrderOutcome.STALE,
         OrderOutcome.EXPIRED,
-        OrderOutcome.NO_ROOM,
+        OrderOutcome.INSUFFICIENT_CAPACITY,
         OrderOutcome.NO_TICKET,
         OrderOutcome.INVALID,
         OrderOutcome.UNHEALTHY,
-        OrderOutcome.OTHER_LIFE,
+        OrderOutcome.OTHER_INCARNATION,
         OrderOutcome.NOT_SENT,
     }
 )
--- a/src/onyxspoke/core/shard/quota_desk.py
+++ b/src/onyxspoke/core/shard/quota_coordinator.py
@@ -4,8 +4,8 @@
 
 from onyxspoke.core.jobs.amounts import minus, plus, times
 from onyxspoke.core.jobs.model import Needs
-from onyxspoke.core.placement.quota_doubts import find_doubts
-from onyxspoke.core.shard.actions import AskQuota, ReplyToCall
+from onyxspoke.core.placement.unconfirmed_usage import find_doubts
+from onyxspoke.core.shard.actions import ReplyToCall, RequestQuota
 from onyxspoke.core.shard.calls import CallReply, QuotaCall, ReplyCode
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.tenants.bank import QuotaRequest, home_shard
@@ -14,7 +14,7 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 
-class QuotaDesk:
+class QuotaCoordinator:
     """Coordinates tenants' quotas over all shards of the cell.
 
     A tenant has one quota for the whole cell.  The tenant's home shard may use all of the quota
@@ -31,9 +31,9 @@
         """Return the quotas for one pass of placement, and update the loans."""
         unconfirmed_usage = self._unconfirmed_usage()
         self._update_loans(unconfirmed_usage, now)
-        return QuotaPass(self.part_of, self._context.ledger, unconfirmed_usage)
+        return QuotaPass(self.allocation_of, self._context.ledger, unconfirmed_usage)
 
-    def part_of(self, tenant: TenantName) -> Needs:
+    def allocation_of(self, tenant: TenantName) -> Needs:
         """Return the part of a tenant's quota that this shard may use."""
         quota = self._quota_of(tenant)
         allocation = quota
@@ -68,7 +68,7 @@
             request = self._borrower.keep(tenant, quota, used, tenant_waiting_needs, now)
             if request is not None:
                 self._log_request("quota_asked", request, request.amount)
-                context.emit(AskQuota(tenant_home_shard, request))
+                context.emit(RequestQuota(tenant_home_shard, request))
 
     def handle_call(self, call_id: int, call: QuotaCall, now: float) -> None:
         """Lend a part of a quota to another shard; reply once the loan is committed."""
@@ -93,7 +93,7 @@
         if reply.code is not ReplyCode.OK or reply.granted is None:
             self._borrower.handle_unanswered(request, now)
         elif self._borrower.handle_granted(request, reply.granted, now):
-            self._context.wants_placement = True
+            self._context.needs_placement = True
 
     def _quota_of(self, tenant: TenantName) -> Needs:
         policy = self._context.policy.tenants.get(tenant)
@@ -104,14 +104,14 @@
 
     def _unconfirmed_usage(self) -> dict[TenantName, Needs]:
         context = self._context
-        if not context.policy.tenants or not context.book.is_recovering:
+        if not context.policy.tenants or not context.job_registry.is_recovering:
             return {}
-        return find_doubts(context.book.tasks_in_doubt(), context.table.unsettled())
+        return find_doubts(context.job_registry.tasks_in_doubt(), context.table.unreconciled())
 
     def _waiting_needs(self) -> dict[TenantName, Needs]:
         """Return the total needs of each tenant's waiting tasks."""
         waiting_needs: dict[TenantName, Needs] = {}
-        for step in self._context.book.startable_steps():
+        for step in self._context.job_registry.startable_steps():
             tenant = step.job.spec.tenant
             needs = times(step.needs, len(step.waiting))
             waiting_needs[tenant] = plus(waiting_needs.get(tenant, Needs()), needs)
--- a/src/onyxspoke/core/shard/run_keeper.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -7,11 +7,11 @@
 from onyxspoke.core.jobs.model import RunKey, StepKey
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
 from onyxspoke.core.jobs.states import JobState, RunEnd, RunState, TaskState
-from onyxspoke.core.placement.blame import EndOfLife, blame_runs, has_crashed
-from onyxspoke.core.placement.room_seeker import Eviction
-from onyxspoke.core.placement.runs import GangRun, Run, is_stalled, run_name
+from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
+from onyxspoke.core.placement.capacity_seeker import PreemptionRequest
+from onyxspoke.core.placement.runs import GangRun, Run, is_stalled, task_log_name
 from onyxspoke.core.placement.workers import Worker, WorkerContact
-from onyxspoke.core.shard.actions import JobBegun, SendStop
+from onyxspoke.core.shard.actions import JobStarted, SendStop
 from onyxspoke.core.shard.context import ShardContext, address_of
 from onyxspoke.core.shard.orders import EndReport, OrderOutcome, OrderResult
 
@@ -20,7 +20,7 @@
 _MILLISECONDS = 1_000.0
 
 
-class RunKeeper:
+class RunManager:
     """Manages all runs of the shard.
 
     Parameters
@@ -49,13 +49,13 @@
             self.log_run("start_withdrawn", run, reason=reason)
             self.end_run(run, RunEnd.NOT_STARTED, now)
             return
-        progress_age_ms = int((now - run.moved_at) * _MILLISECONDS)
+        progress_age_ms = int((now - run.progressed_at) * _MILLISECONDS)
         self.log_run("run_stop", run, reason=reason, percent=run.percent, still_ms=progress_age_ms)
         run.move_to(RunState.STOPPING)
         self._stopping_runs[run.key] = run
         self._send_stop(run, now)
 
-    def preempt(self, eviction: Eviction, now: float) -> None:
+    def preempt(self, eviction: PreemptionRequest, now: float) -> None:
         """Stop runs that are preempted by a more urgent step."""
         for run in eviction.preemption.runs:
             self.log_run("run_preempted", run, by=eviction.step.key.name)
@@ -64,18 +64,20 @@
     def _send_stop(self, run: Run, now: float) -> None:
         run.stop_sent_at = now
         context = self._context
-        if context.may_order(now):
+        if context.may_send_orders(now):
             context.emit(SendStop(address_of(run.worker), context.token, run.key))
 
     def stop_orphan_run(self, worker: Worker, key: RunKey, now: float) -> None:
         """Order a worker to stop a run that belongs to no active task of this shard."""
         context = self._context
-        sent_at = worker.strays.get(key)
+        sent_at = worker.orphan_runs.get(key)
         if sent_at is not None and now - sent_at < STOP_RETRY_SECONDS:
             return
-        worker.strays[key] = now
-        if context.may_order(now):
-            context.log("stray_stop", worker=worker.worker_id, task=run_name(key), run=key.number)
+        worker.orphan_runs[key] = now
+        if context.may_send_orders(now):
+            context.log(
+                "stray_stop", worker=worker.worker_id, task=task_log_name(key), run=key.number
+            )
             context.emit(SendStop(address_of(worker), context.token, key))
 
     def handle_stop_result(
@@ -83,16 +85,16 @@
     ) -> None:
         """Handle the result of an order to stop, which may be missing."""
         is_done = result.outcome in (OrderOutcome.DONE, OrderOutcome.STALE)
-        if is_done and worker.open_starts.pop(key, None) is not None:
-            self._context.wants_placement = True
+        if is_done and worker.unresolved_starts.pop(key, None) is not None:
+            self._context.needs_placement = True
         run = worker.runs.get(key)
         if run is None:
             return
         if is_done:
             run.stop_answered_at = now
-            worker.wants_look = worker.wants_look or not run.confirmed_at
+            worker.poll_requested = worker.poll_requested or not run.confirmed_at
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Stop stalled runs, and send unanswered stops again."""
         self._stop_stalled(now)
         for run in list(self._stopping_runs.values()):
@@ -105,13 +107,13 @@
     def _stop_unresolved_starts(self, worker: Worker, now: float) -> None:
         """Stop runs that were ordered to an earlier incarnation but may still start on this one."""
         context = self._context
-        for key, sent_at in worker.open_starts.items():
-            if now - sent_at >= STOP_RETRY_SECONDS and context.may_order(now):
-                worker.open_starts[key] = now
+        for key, sent_at in worker.unresolved_starts.items():
+            if now - sent_at >= STOP_RETRY_SECONDS and context.may_send_orders(now):
+                worker.unresolved_starts[key] = now
                 context.log(
                     "open_start_stop",
                     worker=worker.worker_id,
-                    task=run_name(key),
+                    task=task_log_name(key),
                     run=key.number,
                 )
                 context.emit(SendStop(address_of(worker), context.token, key))
@@ -119,7 +121,7 @@
     def _stop_stalled(self, now: float) -> None:
         """Stop runs that make no progress, so that their tasks continue elsewhere."""
         for worker in self._context.table.workers.values():
-            if worker.contact is not WorkerContact.SETTLED:
+            if worker.contact is not WorkerContact.RECONCILED:
                 continue
             for run in list(worker.runs.values()):
                 if run.state is RunState.RUNNING and is_stalled(run, worker.answered_at):
@@ -127,7 +129,7 @@
                     worker.health.avoid(now)
                     self.stop(run, now, "stalled")
 
-    def stop_job_runs(self, steps: list[StepProgress], now: float, reason: str) -> None:
+    def stop_runs_of(self, steps: list[StepProgress], now: float, reason: str) -> None:
         """Stop all runs of the given steps."""
         for step in steps:
             gang = self.gangs.get(step.key)
@@ -136,24 +138,28 @@
             for run in runs:
                 if run.state not in (RunState.ENDED, RunState.STOPPING):
                     self.stop(run, now, reason)
-            self._context.desk.forget(step.key)
+            self._context.advice_dispatcher.forget(step.key)
 
     def confirm(self, run: Run, now: float) -> None:
         """Record that a worker has confirmed a run."""
         run.move_to(RunState.RUNNING)
         run.confirmed_at = now
-        run.moved_at = now
+        run.progressed_at = now
         self._record_start(run, now)
 
     def _record_start(self, run: Run, now: float) -> None:
         job = run.task.step.job
         if not job.begun:
             seconds = now - job.accepted_at
-            self._context.emit(JobBegun(job.spec.queue.name, job.spec.tenant, seconds))
-        self._context.book.task_begun(run.task, now)
+            self._context.emit(JobStarted(job.spec.queue.name, job.spec.tenant, seconds))
+        self._context.job_registry.task_begun(run.task, now)
 
     def abandon_runs(
-        self, worker: Worker, reason: EndOfLife, now: float, next_incarnation: Worker | None = None
+        self,
+        worker: Worker,
+        reason: IncarnationEndReason,
+        now: float,
+        next_incarnation: Worker | None = None,
     ) -> None:
         """Abandon all runs of a worker's incarnation that has ended or whose lease has expired.
 
@@ -164,7 +170,9 @@
         """
         is_crash = has_crashed(worker, reason)
         blamed = blame_runs(worker, now) if is_crash else []
-        tasks_in_doubt = self._context.book.tasks_doubted_on(worker.worker_id) if is_crash else []
+        tasks_in_doubt = (
+            self._context.job_registry.tasks_doubted_on(worker.worker_id) if is_crash else []
+        )
         if next_incarnation is not None:
             self.transfer_unconfirmed_starts(worker, next_incarnation, now)
         for run in list(worker.runs.values()):
@@ -192,7 +200,7 @@
             if run.state is not RunState.PLANNED and not run.confirmed_at:
                 self._transfer_run(run, next_incarnation, now)
         for key in next_incarnation.runs:
-            next_incarnation.open_starts.pop(key, None)
+            next_incarnation.unresolved_starts.pop(key, None)
         self._stop_unresolved_starts(next_incarnation, now)
 
     def _transfer_run(self, run: Run, next_incarnation: Worker, now: float) -> None:
@@ -208,7 +216,7 @@
 
     def _record_crash(self, task: TaskProgress, worker: Worker, blame: Blame, now: float) -> None:
         """Count a worker's crash against a task before the task can start again."""
-        is_given_up = self._context.book.task_crashed(task, blame, now)
+        is_given_up = self._context.job_registry.task_crashed(task, blame, now)
         crash_counts = task.crashes
         fields = crash_counts._asdict()
         name = f"{task.step.key.name}.{task.index}"
@@ -231,16 +239,16 @@
         worker = run.worker
         worker.remove(run)
         self._context.ledger.remove(run.task.step.job.spec.tenant, run.needs)
-        self._context.table.note_gain(worker)
+        self._context.table.note_capacity_gain(worker)
         worker.note_ended(run.key, end)
         task = run.task
         if task.run is run:
             task.run = None
             task.placed_on = ""
-        self._context.wants_placement = True
+        self._context.needs_placement = True
         if end is RunEnd.FAILED:
             task.failed_on = worker.worker_id
-            self._context.book.task_failed(task, run.number, now)
+            self._context.job_registry.task_failed(task, run.number, now)
             if worker.health.note_failure(task.step.job.job_id, now):
                 self._context.log("worker_avoided", worker=worker.worker_id, reason="failures")
         elif end is RunEnd.DONE:
@@ -250,7 +258,7 @@
         elif end is RunEnd.DONE:
             self.complete_task(task, now)
         elif task.state is TaskState.ACTIVE:
-            self._context.book.task_waits(task)
+            self._context.job_registry.task_waits(task)
         self.stop_runs_if_job_ended(task.step, now)
 
     def _end_gang_member(self, run: Run, gang: GangRun, end: RunEnd, now: float) -> None:
@@ -267,7 +275,7 @@
             self.gangs.pop(step.key, None)
             for task in step.tasks:
                 if task.state is TaskState.ACTIVE:
-                    self._context.book.task_waits(task)
+                    self._context.job_registry.task_waits(task)
 
     def complete_task(self, task: TaskProgress, now: float) -> None:
         """Record a successful end, which completes a task or a whole gang.
@@ -276,26 +284,26 @@
         """
         step = task.step
         if step.spec.long_running:
-            self._context.book.task_waits(task)
+            self._context.job_registry.task_waits(task)
             return
         tasks = step.tasks if step.spec.gang else [task]
         for ended in tasks:
             if ended.state is not TaskState.DONE:
-                self._context.book.task_done(ended, now)
+                self._context.job_registry.task_done(ended, now)
         if step.is_done:
-            self._context.desk.forget(step.key)
-        self._context.wants_placement = True
+            self._context.advice_dispatcher.forget(step.key)
+        self._context.needs_placement = True
 
     def stop_runs_if_job_ended(self, step: StepProgress, now: float) -> None:
         """Stop all runs of a job that has failed or was cancelled."""
         job = step.job
         if job.state in (JobState.FAILED, JobState.CANCELLED):
-            self.stop_job_runs(job.steps(), now, f"job_{job.state.name.lower()}")
+            self.stop_runs_of(job.steps(), now, f"job_{job.state.name.lower()}")
 
     def note_checkpoint(self, task: TaskProgress, checkpoint: str) -> None:
         """Record the checkpoint from which a task may resume, if a worker reported one."""
         if checkpoint:
-            self._context.book.note_checkpoint(checkpoint_holder(task), checkpoint)
+            self._context.job_registry.note_checkpoint(checkpoint_holder(task), checkpoint)
 
     def stop_incomplete_gangs(self, now: float, keys: set[StepKey] | None = None) -> None:
         """Stop gangs that lack members, once all runs of those gangs are known.
@@ -321,7 +329,7 @@
         self._context.log(
             event,
             worker=run.worker.worker_id,
-            task=run_name(run.key),
+            task=task_log_name(run.key),
             run=run.number,
             state=run.state.name.lower(),
             **fields,
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -5,15 +5,15 @@
 from onyxspoke.core.jobs.model import RunKey
 from onyxspoke.core.jobs.progress import StepProgress, checkpoint_of
 from onyxspoke.core.jobs.states import RunEnd, RunState
-from onyxspoke.core.placement.isolation import keep_free_for
-from onyxspoke.core.placement.runs import GangRun, Run, run_name
+from onyxspoke.core.placement.isolation import isolate_worker_of
+from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
 from onyxspoke.core.placement.spreading import Placement, StepPlacement
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 from onyxspoke.core.shard.actions import SendStart
 from onyxspoke.core.shard.context import ShardContext, address_of
 from onyxspoke.core.shard.orders import NOT_EXECUTED_OUTCOMES, OrderOutcome, OrderResult
-from onyxspoke.core.shard.run_keeper import RunKeeper
+from onyxspoke.core.shard.run_manager import RunManager
 
 #: Run numbers reserved for each token, so that a holder's are higher than any earlier holder's.
 RUN_NUMBERS_PER_TOKEN = 4_096
@@ -22,10 +22,10 @@
 _BACKOFF_OUTCOMES = frozenset(
     {
         OrderOutcome.UNHEALTHY,
-        OrderOutcome.NO_ROOM,
+        OrderOutcome.INSUFFICIENT_CAPACITY,
         OrderOutcome.INVALID,
         OrderOutcome.NOT_SENT,
-        OrderOutcome.OTHER_LIFE,
+        OrderOutcome.OTHER_INCARNATION,
     }
 )
 _MILLISECONDS = 1_000.0
@@ -38,11 +38,11 @@
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunKeeper
+    runs : RunManager
         Manages the runs that were started.
     """
 
-    def __init__(self, context: ShardContext, runs: RunKeeper) -> None:
+    def __init__(self, context: ShardContext, runs: RunManager) -> None:
         self._context = context
         self._runs = runs
 
@@ -61,7 +61,7 @@
         for placement in plan.placements:
             number = gang.number if gang is not None else self._next_run_number(step)
             runs.append(self._plan_run(placement, number, gang, now))
-        self._context.book.dirty[step.job.job_id] = None
+        self._context.job_registry.dirty[step.job.job_id] = None
         self._context.commit.after_commit(_SendStartsAfterCommit(self, runs))
 
     def _plan_run(self, placement: Placement, number: int, gang: GangRun | None, now: float) -> Run:
@@ -71,8 +71,8 @@
         run.is_resumed = bool(checkpoint_of(task))
         task.run = run
         self._runs.reserve_capacity(run)
-        self._context.book.task_started(task)
-        keep_free_for(run, now)
+        self._context.job_registry.task_started(task)
+        isolate_worker_of(run, now)
         return run
 
     def order_starts(self, runs: list[Run], now: float) -> None:
@@ -94,12 +94,12 @@
         worker = run.worker
         return (
             run.state is RunState.PLANNED
-            and context.may_order(now)
-            and worker.contact is WorkerContact.SETTLED
+            and context.may_send_orders(now)
+            and worker.contact is WorkerContact.RECONCILED
             and worker.listing is WorkerListing.READY
             # The worker's capacity may have shrunk while the start was being recorded.
-            and not worker.is_over_room
-            and not worker.doubted_at
+            and not worker.is_over_capacity
+            and not worker.unanswered_order_at
             and self._ticket_for(run, now) is not None
         )
 
@@ -108,22 +108,24 @@
         step = run.task.step
         if self._context.policy.queue_of(step.job.spec).advice is None:
             return ""
-        return self._context.desk.advice_on(step).valid_ticket(run.worker.worker_id, now)
+        return self._context.advice_dispatcher.advice_for(step).valid_ticket(
+            run.worker.worker_id, now
+        )
 
     def _send_start(self, run: Run, now: float) -> None:
         context = self._context
         task, worker = run.task, run.worker
         run.move_to(RunState.STARTING)
-        run.ordered_at = run.sent_at = run.moved_at = now
-        run.until_ms = worker.clock.estimate_ms(now) + context.options.start_validity_ms
-        worker.extend_lease(run.until_ms)
-        context.table.open_starts.handle_ordered(worker.worker_id, run.key, now)
-        keep_free_for(run, now)
+        run.ordered_at = run.sent_at = run.progressed_at = now
+        run.start_valid_until_ms = worker.clock.estimate_ms(now) + context.options.start_validity_ms
+        worker.extend_lease(run.start_valid_until_ms)
+        context.table.unresolved_starts.add_start(worker.worker_id, run.key, now)
+        isolate_worker_of(run, now)
         job = task.step.job
         context.log(
             "run_start",
             worker=worker.worker_id,
-            task=run_name(run.key),
+            task=task_log_name(run.key),
             run=run.number,
             waited_ms=int((now - task.step.ready_at) * _MILLISECONDS),
             quota_ms=int(task.step.over_quota_seconds * _MILLISECONDS),
@@ -137,7 +139,7 @@
                 token=context.token,
                 run=run.key,
                 payload=job.spec.payload,
-                until_ms=run.until_ms,
+                until_ms=run.start_valid_until_ms,
                 checkpoint=checkpoint_of(task),
                 ticket=self._ticket_for(run, now) or "",
             )
@@ -150,7 +152,7 @@
         run = worker.runs.get(key)
         outcome = result.outcome
         if outcome is OrderOutcome.DONE:
-            worker.note_heard(now)
+            worker.note_answer(now)
             if run is not None and run.state in (RunState.STARTING, RunState.UNCERTAIN):
                 self._runs.confirm(run, now)
             return
@@ -160,8 +162,8 @@
             if run.state is RunState.STARTING:
                 run.move_to(RunState.UNCERTAIN)
             # The worker gets no new runs until it has answered a poll.
-            worker.wants_look = True
-            worker.doubted_at = now
+            worker.poll_requested = True
+            worker.unanswered_order_at = now
             self._runs.log_run("start_unanswered", run)
             return
         if outcome in NOT_EXECUTED_OUTCOMES:
@@ -171,9 +173,11 @@
 
     def _handle_refusal(self, worker: Worker, run: Run, outcome: OrderOutcome, now: float) -> None:
         if outcome is OrderOutcome.NO_TICKET:
-            self._context.desk.drop_ticket(run.task.step.key, worker.worker_id)
+            self._context.advice_dispatcher.drop_ticket(run.task.step.key, worker.worker_id)
         elif outcome in _BACKOFF_OUTCOMES:
-            worker.wants_look = worker.wants_look or outcome is OrderOutcome.OTHER_LIFE
+            worker.poll_requested = (
+                worker.poll_requested or outcome is OrderOutcome.OTHER_INCARNATION
+            )
             worker.retry_at = now + REFUSAL_BACKOFF_SECONDS
 
     def _next_run_number(self, step: StepProgress) -> int:
--- a/src/onyxspoke/core/shard/tenant_summary.py
+++ b/src/onyxspoke/core/shard/tenant_summary.py
@@ -48,7 +48,7 @@
 
 
 def summarise_tenants(
-    context: ShardContext, part_of: Callable[[TenantName], Needs]
+    context: ShardContext, allocation_of: Callable[[TenantName], Needs]
 ) -> list[TenantSummary]:
     """Return the summaries of all configured tenants, sorted by name."""
     policies = context.policy.tenants
@@ -57,13 +57,13 @@
             tenant=name,
             weight=policy.weight,
             used=context.ledger.used(name),
-            quota=_limited_amounts(part_of(name), policy.quota),
+            quota=_limited_amounts(allocation_of(name), policy.quota),
             owed=context.shares.owed_count(name),
             beyond=context.shares.beyond_count(name),
         )
         for name, policy in policies.items()
     }
-    for job in context.book.jobs.values():
+    for job in context.job_registry.jobs.values():
         summary = summaries.get(job.spec.tenant)
         if summary is None or job.state.is_final:
             continue
--- a/src/onyxspoke/core/shard/worker_keeper.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -4,15 +4,15 @@
 
 import math
 
-from onyxspoke.core.placement.blame import EndOfLife
+from onyxspoke.core.placement.blame import IncarnationEndReason
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.core.placement.workers import HoldInFlight, Worker, WorkerContact
 from onyxspoke.core.shard.actions import DropWorkerConnections, SendHold, StepDownReason
 from onyxspoke.core.shard.context import ShardContext, address_of
 from onyxspoke.core.shard.orders import HoldResult, OrderOutcome
-from onyxspoke.core.shard.run_keeper import RunKeeper
-from onyxspoke.core.shard.run_reports import RunReports
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.run_manager import RunManager
+from onyxspoke.core.shard.run_reconciler import RunReconciler
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 
 #: Interval between two polls of a worker that does not answer.
 UNRESPONSIVE_POLL_INTERVAL_SECONDS = 0.35
@@ -36,32 +36,32 @@
 _MILLISECONDS = 1_000.0
 
 
-class WorkerKeeper:
+class WorkerManager:
     """Maintains contact with every worker of the shard.
 
     Parameters
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunKeeper
+    runs : RunManager
         Abandons the runs of incarnations that have ended.
-    reports : RunReports
+    reports : RunReconciler
         Processes the lists that workers report.
-    register : WorkerRegister
+    worker_registry : WorkerRegistry
         Knows the shard's workers.
     """
 
     def __init__(
         self,
         context: ShardContext,
-        runs: RunKeeper,
-        reports: RunReports,
-        register: WorkerRegister,
+        runs: RunManager,
+        reports: RunReconciler,
+        worker_registry: WorkerRegistry,
     ) -> None:
         self._context = context
         self._runs = runs
         self._reports = reports
-        self._register = register
+        self._worker_registry = worker_registry
         self._is_recovery_complete = False
         self._last_hold_number = 0
         #: When an answer of a reconciled worker was last lost.
@@ -69,15 +69,15 @@
 
     # Holds
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Send due holds, and end incarnations whose leases have expired."""
-        self._register.keep(now)
+        self._worker_registry.tick(now)
         for worker in list(self._context.table.workers.values()):
-            if worker.contact is WorkerContact.OVER:
+            if worker.contact is WorkerContact.ENDED:
                 self._handle_ended_incarnation(worker, now)
                 continue
-            if worker.contact is not WorkerContact.SETTLED and now > worker.lease_over_at():
-                self._end_incarnation(worker, now, EndOfLife.LEASE_OVER)
+            if worker.contact is not WorkerContact.RECONCILED and now > worker.lease_over_at():
+                self._end_incarnation(worker, now, IncarnationEndReason.LEASE_EXPIRED)
                 continue
             self._hold_if_due(worker, now)
         self._complete_recovery_if_reconciled(now)
@@ -90,22 +90,22 @@
         """
         services = self._context.policy.services
         is_service_known = not services or worker.record.service in services
-        return is_service_known or bool(worker.runs) or worker.was_used_before
+        return is_service_known or bool(worker.runs) or worker.was_used_by_previous_holder
 
     def _hold_if_due(self, worker: Worker, now: float) -> None:
         if not self._may_run_tasks(worker):
             return
-        if worker.wants_look and not worker.quick_hold.sent_at:
-            worker.wants_look = False
-            self._send_hold(worker, worker.quick_hold, now, wait_ms=0)
+        if worker.poll_requested and not worker.immediate_hold.sent_at:
+            worker.poll_requested = False
+            self._send_hold(worker, worker.immediate_hold, now, wait_ms=0)
         elif not worker.long_hold.sent_at and now >= worker.next_hold_at:
-            is_reconciled = worker.contact is WorkerContact.SETTLED
+            is_reconciled = worker.contact is WorkerContact.RECONCILED
             are_ends_committed = worker.told_through >= worker.seen_through
-            may_wait = is_reconciled and are_ends_committed and worker.misses == 0
+            may_wait = is_reconciled and are_ends_committed and worker.missed_holds == 0
             wait_ms = self._context.options.hold_wait_ms if may_wait else 0
             if now - self._last_answer_loss_at < LOSSY_PERIOD_SECONDS and worker.runs:
                 wait_ms = min(wait_ms, LOSSY_HOLD_WAIT_MS)
-            if worker.has_fillers():
+            if worker.needs_pacing():
                 # Latency measurements of serving tasks are needed more often than runs end.
                 wait_ms = min(wait_ms, PACED_HOLD_WAIT_MS)
             self._send_hold(worker, worker.long_hold, now, wait_ms=wait_ms)
@@ -119,15 +119,15 @@
         until_ms = 0
         # An unresponsive worker may receive our holds although its answers are lost.  Such holds
         # must not extend its lease, or the lease would never expire.
-        is_reconciled = worker.contact is WorkerContact.SETTLED
-        if is_reconciled and worker.clock.is_known and context.may_order(now):
+        is_reconciled = worker.contact is WorkerContact.RECONCILED
+        if is_reconciled and worker.clock.is_known and context.may_send_orders(now):
             until_ms = worker.clock.estimate_ms(now) + context.options.maximum_hold_ms
             worker.extend_lease(until_ms)
         context.emit(
             SendHold(
                 address=address_of(worker),
                 token=context.token,
-                last_seen=worker.told_through,
+                acknowledged_through=worker.told_through,
                 until_ms=until_ms,
                 wait_ms=wait_ms,
                 number=hold.number,
@@ -138,7 +138,7 @@
         self, worker: Worker, number: int, result: HoldResult, now: float
     ) -> None:
         """Handle the result of a hold, which may be missing."""
-        hold = worker.long_hold if worker.long_hold.number == number else worker.quick_hold
+        hold = worker.long_hold if worker.long_hold.number == number else worker.immediate_hold
         if hold.number != number or not hold.sent_at:
             return
         sent_at, hold.sent_at = hold.sent_at, 0.0
@@ -147,14 +147,16 @@
             self._process_answer(worker, result, sent_at, now)
         elif result.outcome is OrderOutcome.FENCED:
             self._context.step_down(StepDownReason.WORKER_FENCED)
-        elif result.outcome is OrderOutcome.OTHER_LIFE:
+        elif result.outcome is OrderOutcome.OTHER_INCARNATION:
             next_incarnation = None
             if result.born_ms:
                 next_incarnation = self._begin_next_incarnation(worker, result.born_ms, now)
-            self._end_incarnation(worker, now, EndOfLife.OTHER_LIFE, next_incarnation)
+            self._end_incarnation(
+                worker, now, IncarnationEndReason.OTHER_INCARNATION, next_incarnation
+            )
         else:
             if result.outcome in (OrderOutcome.NO_ANSWER, OrderOutcome.NOT_SENT):
-                worker.note_unheard(has_ended_early)
+                worker.note_failed_poll(has_ended_early)
             self._process_missed_hold(worker, result.outcome, now)
 
     def _process_answer(
@@ -162,12 +164,12 @@
     ) -> None:
         worker.clock.read(result.clock_ms, now)
         worker.born_ms = worker.born_ms or result.born_ms
-        if sent_at >= worker.doubted_at:
-            worker.doubted_at = 0.0
-        worker.misses = 0
+        if sent_at >= worker.unanswered_order_at:
+            worker.unanswered_order_at = 0.0
+        worker.missed_holds = 0
         worker.answered_at = now
-        worker.note_heard(now)
-        was_reconciled = worker.contact is WorkerContact.SETTLED
+        worker.note_answer(now)
+        was_reconciled = worker.contact is WorkerContact.RECONCILED
         self._reports.reconcile(worker, result, sent_at, now)
         if not was_reconciled:
             self._mark_reconciled(worker, result, now)
@@ -176,37 +178,37 @@
         self._after_answer(worker, now)
 
     def _mark_reconciled(self, worker: Worker, result: HoldResult, now: float) -> None:
-        if worker.contact is WorkerContact.UNSETTLED:
+        if worker.contact is WorkerContact.UNRECONCILED:
             # A previous holder may have extended the lease just before.
             worker.extend_lease(result.clock_ms + self._context.options.maximum_hold_ms)
-        worker.move_to(WorkerContact.SETTLED)
+        worker.move_to(WorkerContact.RECONCILED)
         self._log_worker(worker, "worker_settled", runs=len(worker.runs), born_ms=result.born_ms)
         worker.next_hold_at = now
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _after_answer(self, worker: Worker, now: float) -> None:
         context = self._context
-        interval_seconds = context.options.hold_pause_seconds
+        interval_seconds = context.options.hold_interval_seconds
         if worker.seen_through > worker.told_through:
             interval_seconds = UNCOMMITTED_HOLD_INTERVAL_SECONDS
             context.commit.after_commit(_AcknowledgeEnds(worker, worker.seen_through, context))
         worker.next_hold_at = max(worker.next_hold_at, now + interval_seconds)
 
     def _process_missed_hold(self, worker: Worker, outcome: OrderOutcome, now: float) -> None:
-        worker.misses += 1
-        if outcome is OrderOutcome.NO_ANSWER and worker.contact is WorkerContact.SETTLED:
+        worker.missed_holds += 1
+        if outcome is OrderOutcome.NO_ANSWER and worker.contact is WorkerContact.RECONCILED:
             self.note_answer_lost(now)
         if outcome is OrderOutcome.UNHEALTHY:
             worker.next_hold_at = now + UNHEALTHY_HOLD_INTERVAL_SECONDS
-        elif worker.misses < MISSED_HOLDS_UNTIL_UNRESPONSIVE:
+        elif worker.missed_holds < MISSED_HOLDS_UNTIL_UNRESPONSIVE:
             worker.next_hold_at = now
         else:
             worker.next_hold_at = now + UNRESPONSIVE_POLL_INTERVAL_SECONDS
         if (
-            worker.misses >= MISSED_HOLDS_UNTIL_UNRESPONSIVE
-            and worker.contact is WorkerContact.SETTLED
+            worker.missed_holds >= MISSED_HOLDS_UNTIL_UNRESPONSIVE
+            and worker.contact is WorkerContact.RECONCILED
         ):
-            worker.move_to(WorkerContact.SILENT)
+            worker.move_to(WorkerContact.UNRESPONSIVE)
             worker.silent_since = now
             lease_left = round(worker.lease_over_at() - now, 2)
             self._log_worker(worker, "worker_silent", outcome=outcome.value, lease_left=lease_left)
@@ -220,13 +222,17 @@
     # Ends of incarnations
 
     def _end_incarnation(
-        self, worker: Worker, now: float, reason: EndOfLife, next_incarnation: Worker | None = None
+        self,
+        worker: Worker,
+        now: float,
+        reason: IncarnationEndReason,
+        next_incarnation: Worker | None = None,
     ) -> None:
-        if worker.contact is WorkerContact.OVER:
+        if worker.contact is WorkerContact.ENDED:
             if next_incarnation is not None:
                 self._runs.transfer_unconfirmed_starts(worker, next_incarnation, now)
             return
-        worker.move_to(WorkerContact.OVER)
+        worker.move_to(WorkerContact.ENDED)
         self._log_worker(
             worker,
             "worker_over",
@@ -237,8 +243,8 @@
         )
         self._runs.abandon_runs(worker, reason, now, next_incarnation)
         self._reports.settle_worker(worker, now)
-        self._context.wants_placement = True
-        if reason is EndOfLife.OTHER_LIFE:
+        self._context.needs_placement = True
+        if reason is IncarnationEndReason.OTHER_INCARNATION:
             worker.listing = WorkerListing.GONE
 
     def _begin_next_incarnation(self, previous: Worker, born_ms: int, now: float) -> Worker:
@@ -249,14 +255,14 @@
         be ignored as out of order, so that tasks never run.
         """
         self._context.emit(DropWorkerConnections(address_of(previous)))
-        worker = self._register.begin_next_incarnation(previous, born_ms, now)
-        self._context.desk.forget_worker(worker.worker_id)
+        worker = self._worker_registry.begin_next_incarnation(previous, born_ms, now)
+        self._context.advice_dispatcher.forget_worker(worker.worker_id)
         self._log_worker(
             worker,
             "worker_started_again",
             born_ms=born_ms,
             former_born_ms=previous.born_ms,
-            described=int(worker.is_described),
+            described=int(worker.is_record_current),
         )
         return worker
 
@@ -265,20 +271,20 @@
             # The directory still lists the worker: it may have been partitioned, and may return.
             self._hold_if_due(worker, now)
             return
-        if worker.long_hold.sent_at or worker.quick_hold.sent_at:
+        if worker.long_hold.sent_at or worker.immediate_hold.sent_at:
             return
-        self._register.forget(worker)
+        self._worker_registry.forget(worker)
         self._context.emit(DropWorkerConnections(address_of(worker)))
 
     def _complete_recovery_if_reconciled(self, now: float) -> None:
-        if self._is_recovery_complete or self._context.table.unsettled():
+        if self._is_recovery_complete or self._context.table.unreconciled():
             return
         self._is_recovery_complete = True
         self._context.log("recovery_complete", workers=len(self._context.table.workers))
-        self._context.book.is_recovering = False
-        self._context.book.settle_doubt(now)
+        self._context.job_registry.is_recovering = False
+        self._context.job_registry.settle_doubt(now)
         self._runs.stop_incomplete_gangs(now)
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _log_worker(self, worker: Worker, event: str, **fields: str | int | float) -> None:
         self._context.log(event, worker=worker.worker_id, **fields)
@@ -295,7 +301,7 @@
     def __call__(self, now: float) -> None:
         worker = self._worker
         worker.told_through = max(worker.told_through, self._last_end_number)
-        interval_seconds = self._context.options.hold_pause_seconds
+        interval_seconds = self._context.options.hold_interval_seconds
         worker.next_hold_at = min(
             worker.next_hold_at, max(now, worker.answered_at + interval_seconds)
         )
--- a/src/onyxspoke/core/shard/worker_register.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -19,7 +19,7 @@
     WorkerListing,
     WorkerRecord,
 )
-from onyxspoke.core.placement.workers import REMEMBERED_BIRTHS, Worker, WorkerContact
+from onyxspoke.core.placement.workers import MAX_PREVIOUS_STARTS, Worker, WorkerContact
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.shard.log_records import WORKER_PREFIX, ShardRecord
 
@@ -36,21 +36,21 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class WorkerRegister:
+class WorkerRegistry:
     """Holds the workers of one shard.
 
     Parameters
     ----------
     context : ShardContext
         State of the holder.
-    former_orders_until : float
+    previous_orders_until : float
         The time, by the holder's clock, from which no previous holder sends orders any more.
     """
 
-    def __init__(self, context: ShardContext, former_orders_until: float) -> None:
+    def __init__(self, context: ShardContext, previous_orders_until: float) -> None:
         self._context = context
         self._previous_leases_until = (
-            former_orders_until + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
+            previous_orders_until + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
         )
         self._workers_to_record: dict[WorkerId, Worker] = {}
         self._records_to_delete: dict[WorkerId, None] = {}
@@ -62,7 +62,7 @@
         """Add a worker that a previous holder used."""
         worker = self._add(record, now)
         worker.is_recorded = True
-        worker.was_used_before = True
+        worker.was_used_by_previous_holder = True
         worker.listing = WorkerListing.GONE
 
     @property
@@ -96,7 +96,7 @@
         if worker is None or worker.listing in (WorkerListing.UNUSABLE, WorkerListing.DRAINING):
             return
         worker.listing = WorkerListing.UNUSABLE
-        worker.lapsed_until = 0.0
+        worker.missing_entry_grace_until = 0.0
         _log_worker(self._context, worker, "worker_unusable", fault=entry.fault.value)
 
     def handle_unlisted(self, worker_id: WorkerId, now: float) -> None:
@@ -104,36 +104,38 @@
         worker = self._context.table.workers.get(worker_id)
         if worker is None or worker.listing is WorkerListing.GONE:
             return
-        is_in_contact = worker.contact is WorkerContact.SETTLED
+        is_in_contact = worker.contact is WorkerContact.RECONCILED
         if (
             worker.listing is WorkerListing.READY
             and is_in_contact
             and now < self._missing_entry_grace_until
         ):
-            if not worker.lapsed_until:
+            if not worker.missing_entry_grace_until:
                 _log_worker(self._context, worker, "worker_lapsed")
-            worker.lapsed_until = self._missing_entry_grace_until
+            worker.missing_entry_grace_until = self._missing_entry_grace_until
             return
         self._mark_gone(worker)
 
     def _mark_gone(self, worker: Worker) -> None:
         worker.listing = WorkerListing.GONE
-        worker.lapsed_until = 0.0
+        worker.missing_entry_grace_until = 0.0
         _log_worker(self._context, worker, "worker_unlisted")
 
     def _expire_missing_entry(self, worker: Worker, now: float) -> None:
         """Mark a worker as gone if its missing entry has not returned in time."""
-        is_in_contact = worker.contact is WorkerContact.SETTLED
-        if worker.lapsed_until and (now >= worker.lapsed_until or not is_in_contact):
+        is_in_contact = worker.contact is WorkerContact.RECONCILED
+        if worker.missing_entry_grace_until and (
+            now >= worker.missing_entry_grace_until or not is_in_contact
+        ):
             self._mark_gone(worker)
 
     def _process_entry(self, record: WorkerRecord, now: float) -> None:
         worker = self._context.table.workers.get(record.worker_id)
         if worker is not None and worker.born_ms and not record.born_ms:
             # All entries that the worker itself writes contain its start time.
-            self._mark_unusable(UnusableEntry(record.worker_id, EntryFault.NO_BIRTH))
+            self._mark_unusable(UnusableEntry(record.worker_id, EntryFault.NO_START_TIME))
             return
-        if worker is not None and record.born_ms in worker.former_births:
+        if worker is not None and record.born_ms in worker.previous_starts_ms:
             # The entry is out of date: a previous incarnation's capacity and kind do not apply.
             _log_worker(self._context, worker, "entry_out_of_date", born_ms=record.born_ms)
             return
@@ -151,7 +153,7 @@
             )
         if worker.listing is not record.listing:
             if record.listing is WorkerListing.DRAINING:
-                worker.leaves_at = now + record.remaining_ms / _MILLISECONDS
+                worker.earliest_exit_at = now + record.remaining_ms / _MILLISECONDS
             worker.listing = record.listing
             _log_worker(self._context, worker, "worker_listing", listing=record.listing.value)
         if worker.record.born_ms != record.born_ms:
@@ -160,17 +162,17 @@
             self._update_capacity(worker, record.capacity)
         worker.record = record
         worker.speed.kind = record.kind
-        worker.lapsed_until = 0.0
-        is_usable = record.listing is WorkerListing.READY and worker.is_described
+        worker.missing_entry_grace_until = 0.0
+        is_usable = record.listing is WorkerListing.READY and worker.is_record_current
         if is_usable and not worker.is_recorded:
             # The record may have been deleted while the worker was unused.
             self._records_to_delete.pop(record.worker_id, None)
             self._workers_to_record[record.worker_id] = worker
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _record_new_incarnation(self, worker: Worker, record: WorkerRecord) -> None:
         """Handle the entry of another incarnation; a poll finds out whether that one answers."""
-        worker.wants_look = worker.wants_look or record.born_ms != worker.born_ms
+        worker.poll_requested = worker.poll_requested or record.born_ms != worker.born_ms
         _log_worker(
             self._context,
             worker,
@@ -189,11 +191,11 @@
         """
         # The new incarnation may execute an unanswered order to the previous one, and run its task
         # for one lease.
-        unsettled_until = now + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
-        worker = Worker(previous.record, unsettled_until)
+        previous_lease_expires_at = now + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
+        worker = Worker(previous.record, previous_lease_expires_at)
         worker.born_ms = born_ms
-        starts_ms = (*previous.former_births, previous.born_ms)
-        worker.former_births = starts_ms[-REMEMBERED_BIRTHS:]
+        starts_ms = (*previous.previous_starts_ms, previous.born_ms)
+        worker.previous_starts_ms = starts_ms[-MAX_PREVIOUS_STARTS:]
         worker.speed = self._context.durations.begin_life(
             worker.worker_id, born_ms, worker.record.kind, now
         )
@@ -201,7 +203,7 @@
         self._context.table.workers[worker.worker_id] = worker
         self._workers_to_record.pop(worker.worker_id, None)
         self._records_to_delete.pop(worker.worker_id, None)
-        if worker.is_described:
+        if worker.is_record_current:
             self._workers_to_record[worker.worker_id] = worker
         else:
             worker.listing = WorkerListing.GONE
@@ -209,8 +211,8 @@
 
     def _load_unresolved_starts(self, worker: Worker, now: float) -> None:
         """Load unresolved starts of previous incarnations, which this one may still execute."""
-        keys = self._context.table.open_starts.of_worker(worker.worker_id, now)
-        worker.open_starts = dict.fromkeys(keys, -math.inf)
+        keys = self._context.table.unresolved_starts.starts_on_worker(worker.worker_id, now)
+        worker.unresolved_starts = dict.fromkeys(keys, -math.inf)
 
     def _maximum_lease_seconds(self) -> float:
         """Return the longest lease that a worker grants, in seconds of the holder's clock."""
@@ -232,7 +234,7 @@
             runs=len(worker.runs),
         )
         # A step that found no free capacity checks only workers that have gained some since.
-        self._context.table.note_gain(worker)
+        self._context.table.note_capacity_gain(worker)
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
         worker = Worker(record, self._previous_leases_until)
@@ -242,12 +244,12 @@
         self._context.table.workers[record.worker_id] = worker
         return worker
 
-    def handle_advice_of_death(self, former_orders_until: float) -> None:
+    def shorten_previous_leases(self, previous_orders_until: float) -> None:
         """Shorten previous leases, because previous holders stopped ordering earlier."""
-        until = former_orders_until + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
+        until = previous_orders_until + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
         self._previous_leases_until = min(self._previous_leases_until, until)
         for worker in self._context.table.workers.values():
-            worker.unsettled_until = min(worker.unsettled_until, until)
+            worker.previous_lease_expires_at = min(worker.previous_lease_expires_at, until)
 
     # Records
 
@@ -272,9 +274,9 @@
 
     # Periodic work
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Mark workers with missing entries as gone, and delete records of unused workers."""
-        if self._context.commit.is_in_trouble(now, STORE_OUTAGE_SECONDS):
+        if self._context.commit.is_append_overdue(now, STORE_OUTAGE_SECONDS):
             self._missing_entry_grace_until = now + ENTRY_RETURN_SECONDS
         for worker in self._context.table.workers.values():
             self._expire_missing_entry(worker, now)
@@ -293,8 +295,8 @@
         A new holder would have to wait for this worker before it starts tasks in doubt.  A worker
         that has left does not answer, so the holder would wait for the longest possible lease.
         """
-        is_contact_known = worker.contact in (WorkerContact.SETTLED, WorkerContact.SILENT)
-        is_empty = not worker.runs and not worker.strays
+        is_contact_known = worker.contact in (WorkerContact.RECONCILED, WorkerContact.UNRESPONSIVE)
+        is_empty = not worker.runs and not worker.orphan_runs
         is_leaving = self._has_full_listing and worker.listing is not WorkerListing.READY
         if worker.is_recorded and is_contact_known and is_empty and is_leaving:
             worker.is_recorded = False
@@ -313,7 +315,7 @@
 
     def __call__(self, now: float) -> None:
         self._worker.is_recorded = True
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
 
 def _log_worker(
