--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -254,7 +254,7 @@
         run = Run(task, number + 1, context.worker, ordered_at_second)
         run.move_to(RunState.STARTING)
         run.ordered_at = ordered_at_second
-        if ordered_at_second < context.worker.heard_at:
+        if ordered_at_second < context.worker.last_answer_at:
             run.move_to(RunState.RUNNING)
             run.confirmed_at = ordered_at_second
         context.worker.add(run)
--- a/src/onyxspoke/core/shard/orders.py
+++ b/src/onyxspoke/core/shard/orders.py
@@ -89,7 +89,8 @@
 class HoldResult(msgspec.Struct, frozen=True):
     """A worker's answer to a hold: all its runs, and all ends that are not acknowledged yet.
 
-    ``is_whole`` is false if the list of ends was truncated.  ``born_ms`` is the start time of the
+    ``is_complete`` is false if the list of ends was truncated.  ``born_ms`` is the start time of
+    the
     worker that answered, in milliseconds since 1970 by its own clock; 0 if it gave none.
     """
 
@@ -97,7 +98,7 @@
     clock_ms: int = 0
     running: list[RunningReport] = []
     ended: list[EndReport] = []
-    is_whole: bool = True
+    is_complete: bool = True
     born_ms: int = 0
 
 
--- a/src/onyxspoke/core/shard/run_manager.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -124,7 +124,7 @@
             if worker.contact is not WorkerContact.RECONCILED:
                 continue
             for run in list(worker.runs.values()):
-                if run.state is RunState.RUNNING and is_stalled(run, worker.answered_at):
+                if run.state is RunState.RUNNING and is_stalled(run, worker.hold_answered_at):
                     self._context.log("worker_avoided", worker=worker.worker_id, reason="stalled")
                     worker.health.avoid(now)
                     self.stop(run, now, "stalled")
@@ -176,7 +176,7 @@
         if next_incarnation is not None:
             self.transfer_unconfirmed_starts(worker, next_incarnation, now)
         for run in list(worker.runs.values()):
-            observed_ms = int(max(0.0, worker.heard_at - run.sent_at) * _MILLISECONDS)
+            observed_ms = int(max(0.0, worker.last_answer_at - run.sent_at) * _MILLISECONDS)
             self.log_run("run_abandoned", run, reason=reason.value, seen_ms=observed_ms)
             self.end_run(run, RunEnd.ABANDONED, now)
         for run, blame in blamed:
--- a/src/onyxspoke/core/shard/worker_manager.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -100,7 +100,7 @@
             self._send_hold(worker, worker.immediate_hold, now, wait_ms=0)
         elif not worker.long_hold.sent_at and now >= worker.next_hold_at:
             is_reconciled = worker.contact is WorkerContact.RECONCILED
-            are_ends_committed = worker.told_through >= worker.seen_through
+            are_ends_committed = worker.acknowledged_through >= worker.processed_through
             may_wait = is_reconciled and are_ends_committed and worker.missed_holds == 0
             wait_ms = self._context.options.hold_wait_ms if may_wait else 0
             if now - self._last_answer_loss_at < LOSSY_PERIOD_SECONDS and worker.runs:
@@ -127,7 +127,7 @@
             SendHold(
                 address=address_of(worker),
                 token=context.token,
-                acknowledged_through=worker.told_through,
+                acknowledged_through=worker.acknowledged_through,
                 until_ms=until_ms,
                 wait_ms=wait_ms,
                 number=hold.number,
@@ -167,13 +167,13 @@
         if sent_at >= worker.unanswered_order_at:
             worker.unanswered_order_at = 0.0
         worker.missed_holds = 0
-        worker.answered_at = now
+        worker.hold_answered_at = now
         worker.note_answer(now)
         was_reconciled = worker.contact is WorkerContact.RECONCILED
         self._reports.reconcile(worker, result, sent_at, now)
         if not was_reconciled:
             self._mark_reconciled(worker, result, now)
-        if result.is_whole:
+        if result.is_complete:
             self._reports.settle_worker(worker, now)
         self._after_answer(worker, now)
 
@@ -189,9 +189,9 @@
     def _after_answer(self, worker: Worker, now: float) -> None:
         context = self._context
         interval_seconds = context.options.hold_interval_seconds
-        if worker.seen_through > worker.told_through:
+        if worker.processed_through > worker.acknowledged_through:
             interval_seconds = UNCOMMITTED_HOLD_INTERVAL_SECONDS
-            context.commit.after_commit(_AcknowledgeEnds(worker, worker.seen_through, context))
+            context.commit.after_commit(_AcknowledgeEnds(worker, worker.processed_through, context))
         worker.next_hold_at = max(worker.next_hold_at, now + interval_seconds)
 
     def _process_missed_hold(self, worker: Worker, outcome: OrderOutcome, now: float) -> None:
@@ -209,7 +209,7 @@
             and worker.contact is WorkerContact.RECONCILED
         ):
             worker.move_to(WorkerContact.UNRESPONSIVE)
-            worker.silent_since = now
+            worker.unresponsive_since = now
             lease_left = round(worker.lease_over_at() - now, 2)
             self._log_worker(worker, "worker_silent", outcome=outcome.value, lease_left=lease_left)
 
@@ -239,7 +239,9 @@
             reason=reason.value,
             runs=len(worker.runs),
             listing=worker.listing.value,
-            unheard_ms=int((now - worker.heard_at) * _MILLISECONDS) if worker.heard_at else -1,
+            unheard_ms=int((now - worker.last_answer_at) * _MILLISECONDS)
+            if worker.last_answer_at
+            else -1,
         )
         self._runs.abandon_runs(worker, reason, now, next_incarnation)
         self._reports.settle_worker(worker, now)
@@ -300,8 +302,8 @@
 
     def __call__(self, now: float) -> None:
         worker = self._worker
-        worker.told_through = max(worker.told_through, self._last_end_number)
+        worker.acknowledged_through = max(worker.acknowledged_through, self._last_end_number)
         interval_seconds = self._context.options.hold_interval_seconds
         worker.next_hold_at = min(
-            worker.next_hold_at, max(now, worker.answered_at + interval_seconds)
+            worker.next_hold_at, max(now, worker.hold_answered_at + interval_seconds)
         )
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -74,7 +74,7 @@
         self,
         records: list[WorkerRecord],
         unusable: list[UnusableEntry],
-        is_whole: bool,
+        is_complete: bool,
         now: float,
     ) -> None:
         """Process a listing of the directory; workers missing from a complete one are gone."""
@@ -82,7 +82,7 @@
             self._process_entry(record, now)
         for entry in unusable:
             self._mark_unusable(entry)
-        if is_whole:
+        if is_complete:
             self._has_full_listing = True
             listed_ids = {record.worker_id for record in records}
             listed_ids |= {entry.worker_id for entry in unusable}
@@ -180,8 +180,8 @@
             born_ms=record.born_ms,
             former_born_ms=worker.record.born_ms,
             runs=len(worker.runs),
-            seen_through=worker.seen_through,
-            told_through=worker.told_through,
+            seen_through=worker.processed_through,
+            told_through=worker.acknowledged_through,
         )
 
     def begin_next_incarnation(self, previous: Worker, born_ms: int, now: float) -> Worker:
