--- a/src/onyxspoke/core/shard/admission_controller.py
+++ b/src/onyxspoke/core/shard/admission_controller.py
@@ -63,7 +63,7 @@
     def __init__(self, context: ShardContext, worker_registry: WorkerRegistry) -> None:
         self._context = context
         self._worker_registry = worker_registry
-        self._gate = AdmissionDecider()
+        self._decider = AdmissionDecider()
         self._refused_jobs = RefusedJobs()
         self._closures = QueueClosures()
         self._arrivals = ArrivalMeter()
@@ -103,7 +103,7 @@
             self._refused_jobs.forget(key)
             return None
         job = self._describe(spec, refused, now)
-        verdict = self._gate.decide(job, view, now)
+        verdict = self._decider.decide(job, view, now)
         if refused is not None:
             self._report_retry(job, refused, isinstance(verdict, Refuse), now)
         if not isinstance(verdict, Refuse):
@@ -177,7 +177,7 @@
             return
         for scope in scopes:
             job = self._describe(self._last_refused_specs[scope], None, now)
-            if not isinstance(self._gate.decide(job, view, now), Refuse):
+            if not isinstance(self._decider.decide(job, view, now), Refuse):
                 self._closures.note_admitted(scope, now)
 
     def _record_admission(self, job: SubmittedJob, view: LoadView, now: float) -> None:
--- a/src/onyxspoke/core/shard/evacuation.py
+++ b/src/onyxspoke/core/shard/evacuation.py
@@ -25,9 +25,9 @@
 class Evacuation:
     """Stops the runs of workers that are leaving."""
 
-    def __init__(self, context: ShardContext, runs: RunManager) -> None:
+    def __init__(self, context: ShardContext, run_manager: RunManager) -> None:
         self._context = context
-        self._runs = runs
+        self._run_manager = run_manager
 
     def tick(self, now: float) -> None:
         """Stop the runs that cannot finish before their workers leave."""
@@ -36,7 +36,7 @@
             if is_leaving and worker.contact is WorkerContact.RECONCILED:
                 for run in list(worker.runs.values()):
                     if run.state is RunState.RUNNING and self._must_stop(worker, run, now):
-                        self._runs.stop(run, now, "worker_leaving")
+                        self._run_manager.stop(run, now, "worker_leaving")
 
     def _must_stop(self, worker: Worker, run: Run, now: float) -> bool:
         step = run.task.step.spec
--- a/src/onyxspoke/core/shard/orders.py
+++ b/src/onyxspoke/core/shard/orders.py
@@ -90,8 +90,7 @@
     """A worker's answer to a hold: all its runs, and all ends that are not acknowledged yet.
 
     ``is_complete`` is false if the list of ends was truncated.  ``born_ms`` is the start time of
-    the
-    worker that answered, in milliseconds since 1970 by its own clock; 0 if it gave none.
+    the worker that answered, in milliseconds since 1970 by its own clock; 0 if it gave none.
     """
 
     outcome: OrderOutcome
--- a/src/onyxspoke/core/shard/quota_coordinator.py
+++ b/src/onyxspoke/core/shard/quota_coordinator.py
@@ -18,9 +18,9 @@
     """Coordinates tenants' quotas over all shards of the cell.
 
     A tenant has one quota for the whole cell.  The tenant's home shard may use all of the quota
-    except the amounts that it has lent to other shards.  Those request the needs of their waiting
-    tasks.  The quota is not divided equally between the shards, because large gangs would never
-    fit into their shard's part.
+    except the amounts that it has lent to other shards.  Other shards request quota for their
+    waiting tasks.  The quota is not divided equally between the shards, because large gangs would
+    never fit into their shard's part.
     """
 
     def __init__(self, context: ShardContext) -> None:
--- a/src/onyxspoke/core/shard/run_reconciler.py
+++ b/src/onyxspoke/core/shard/run_reconciler.py
@@ -19,13 +19,13 @@
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunManager
-        Manages the runs.
+    run_manager : RunManager
+        Stops and ends runs.
     """
 
-    def __init__(self, context: ShardContext, runs: RunManager) -> None:
+    def __init__(self, context: ShardContext, run_manager: RunManager) -> None:
         self._context = context
-        self._runs = runs
+        self._run_manager = run_manager
 
     def reconcile(self, worker: Worker, result: HoldResult, sent_at: float, now: float) -> None:
         """Process a worker's lists of runs and ends; the hold was sent at ``sent_at``."""
@@ -67,10 +67,10 @@
         run = worker.runs.get(report.run)
         if run is not None:
             self._context.job_registry.task_begun(run.task, now)
-            self._runs.note_checkpoint(run.task, report.checkpoint)
-            self._runs.log_end(run, report)
+            self._run_manager.note_checkpoint(run.task, report.checkpoint)
+            self._run_manager.log_end(run, report)
             self._context.durations.note_end(run, report.end, now)
-            self._runs.end_run(run, report.end, now)
+            self._run_manager.end_run(run, report.end, now)
         elif report.run not in worker.ended_runs:
             self._process_unknown_end(worker, report, now)
 
@@ -82,7 +82,7 @@
         step = task.step
         step.last_number = max(step.last_number, report.run.number)
         self._context.job_registry.task_begun(task, now)
-        self._runs.note_checkpoint(task, report.checkpoint)
+        self._run_manager.note_checkpoint(task, report.checkpoint)
         self._context.log(
             "end_recovered",
             worker=worker.worker_id,
@@ -92,11 +92,11 @@
         )
         is_final_success = report.end is RunEnd.DONE and not step.spec.long_running
         if is_final_success and task.run is None:
-            self._runs.complete_task(task, now)
+            self._run_manager.complete_task(task, now)
         elif report.end is RunEnd.FAILED:
             task.failed_on = worker.worker_id
             self._context.job_registry.task_failed(task, report.run.number, now)
-            self._runs.stop_runs_if_job_ended(step, now)
+            self._run_manager.stop_runs_if_job_ended(step, now)
         self._context.needs_placement = True
 
     def _process_running(self, worker: Worker, report: RunningReport, now: float) -> None:
@@ -105,7 +105,7 @@
             self._process_unknown_run(worker, report, now)
             return
         if run.state in (RunState.STARTING, RunState.UNCERTAIN):
-            self._runs.confirm(run, now)
+            self._run_manager.confirm(run, now)
         if report.percent != run.percent:
             run.percent = report.percent
             run.progressed_at = now
@@ -119,7 +119,7 @@
         """Adopt a run of a previous holder, or stop it."""
         ended = worker.ended_runs.get(report.run)
         if ended is RunEnd.ABANDONED:
-            self._runs.stop_orphan_run(worker, report.run, now)
+            self._run_manager.stop_orphan_run(worker, report.run, now)
         if ended is not None:
             return
         task = self._context.job_registry.find_task(report.run.task)
@@ -130,7 +130,7 @@
             and not task.step.job.state.is_final
         )
         if not may_adopt or task is None:
-            self._runs.stop_orphan_run(worker, report.run, now)
+            self._run_manager.stop_orphan_run(worker, report.run, now)
             return
         self._adopt(worker, task, report, now)
 
@@ -149,17 +149,17 @@
         if task.placed_on != worker.worker_id:
             # Record the placement, so that a later holder knows it, too.
             self._context.job_registry.dirty[step.job.job_id] = None
-        self._runs.reserve_capacity(run)
+        self._run_manager.reserve_capacity(run)
         self._context.job_registry.task_started(task)
         self._context.job_registry.task_begun(task, now)
-        self._runs.log_run("run_adopted", run)
+        self._run_manager.log_run("run_adopted", run)
         if gang is not None and gang.is_broken:
-            self._runs.stop(run, now, "gang_broken")
+            self._run_manager.stop(run, now, "gang_broken")
 
     def _find_or_add_gang(self, step: StepProgress, number: int) -> GangRun:
-        gang = self._runs.gangs.get(step.key)
+        gang = self._run_manager.gangs.get(step.key)
         if gang is None or gang.is_over:
-            gang = self._runs.gangs[step.key] = GangRun(step, number)
+            gang = self._run_manager.gangs[step.key] = GangRun(step, number)
         elif gang.number != number:
             gang.is_broken = True
         return gang
@@ -173,13 +173,13 @@
                 continue
             if run.confirmed_at:
                 if run.confirmed_at < sent_at:
-                    self._runs.log_run("run_missing", run)
-                    self._runs.end_run(run, RunEnd.ABANDONED, now)
+                    self._run_manager.log_run("run_missing", run)
+                    self._run_manager.end_run(run, RunEnd.ABANDONED, now)
             elif clock_ms > run.start_valid_until_ms or 0 < run.stop_answered_at < sent_at:
-                self._runs.log_run("start_settled", run, started=0)
-                self._runs.end_run(run, RunEnd.NOT_STARTED, now)
+                self._run_manager.log_run("start_settled", run, started=0)
+                self._run_manager.end_run(run, RunEnd.NOT_STARTED, now)
             elif run.state is RunState.UNCERTAIN:
-                self._runs.stop(run, now, "start_unanswered")
+                self._run_manager.stop(run, now, "start_unanswered")
 
     def settle_worker(self, worker: Worker, now: float) -> None:
         """Resolve tasks in doubt on a worker whose runs are all known now."""
@@ -187,4 +187,4 @@
         if steps:
             self._context.needs_placement = True
         keys = {step.key for step in steps if not step.in_doubt}
-        self._runs.stop_incomplete_gangs(now, keys)
+        self._run_manager.stop_incomplete_gangs(now, keys)
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -15,7 +15,8 @@
 from onyxspoke.core.shard.orders import NOT_EXECUTED_OUTCOMES, OrderOutcome, OrderResult
 from onyxspoke.core.shard.run_manager import RunManager
 
-#: Run numbers reserved for each token, so that a holder's are higher than any earlier holder's.
+#: Run numbers reserved for each token, so that the numbers of a holder's runs are higher than
+#: those of all earlier holders.
 RUN_NUMBERS_PER_TOKEN = 4_096
 #: For how long a worker gets no new runs after it refused a start, or was not reached.
 REFUSAL_BACKOFF_SECONDS = 0.5
@@ -38,13 +39,13 @@
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunManager
+    run_manager : RunManager
         Manages the runs that were started.
     """
 
-    def __init__(self, context: ShardContext, runs: RunManager) -> None:
+    def __init__(self, context: ShardContext, run_manager: RunManager) -> None:
         self._context = context
-        self._runs = runs
+        self._run_manager = run_manager
 
     def start(self, plan: StepPlacement, now: float) -> None:
         """Reserve capacity for the tasks of a step; order the starts once they are recorded.
@@ -56,7 +57,7 @@
         gang = None
         if step.spec.gang:
             gang = GangRun(step, self._next_run_number(step))
-            self._runs.gangs[step.key] = gang
+            self._run_manager.gangs[step.key] = gang
         runs = []
         for placement in plan.placements:
             number = gang.number if gang is not None else self._next_run_number(step)
@@ -70,7 +71,7 @@
         run = Run(task, number, worker, now, gang)
         run.is_resumed = bool(checkpoint_of(task))
         task.run = run
-        self._runs.reserve_capacity(run)
+        self._run_manager.reserve_capacity(run)
         self._context.job_registry.task_started(task)
         isolate_worker_of(run, now)
         return run
@@ -83,8 +84,8 @@
             startable, withdrawn = [], runs
         for run in withdrawn:
             if run.state is RunState.PLANNED:
-                self._runs.log_run("start_withdrawn", run)
-                self._runs.end_run(run, RunEnd.NOT_STARTED, now)
+                self._run_manager.log_run("start_withdrawn", run)
+                self._run_manager.end_run(run, RunEnd.NOT_STARTED, now)
         for run in startable:
             self._send_start(run, now)
 
@@ -154,7 +155,7 @@
         if outcome is OrderOutcome.DONE:
             worker.note_answer(now)
             if run is not None and run.state in (RunState.STARTING, RunState.UNCERTAIN):
-                self._runs.confirm(run, now)
+                self._run_manager.confirm(run, now)
             return
         if run is None:
             return
@@ -164,12 +165,12 @@
             # The worker gets no new runs until it has answered a poll.
             worker.poll_requested = True
             worker.unanswered_order_at = now
-            self._runs.log_run("start_unanswered", run)
+            self._run_manager.log_run("start_unanswered", run)
             return
         if outcome in NOT_EXECUTED_OUTCOMES:
-            self._runs.log_run("start_refused", run, reason=outcome.value)
+            self._run_manager.log_run("start_refused", run, reason=outcome.value)
             self._handle_refusal(worker, run, outcome, now)
-            self._runs.end_run(run, RunEnd.NOT_STARTED, now)
+            self._run_manager.end_run(run, RunEnd.NOT_STARTED, now)
 
     def _handle_refusal(self, worker: Worker, run: Run, outcome: OrderOutcome, now: float) -> None:
         if outcome is OrderOutcome.NO_TICKET:
--- a/src/onyxspoke/core/shard/worker_manager.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -20,7 +20,7 @@
 UNCOMMITTED_HOLD_INTERVAL_SECONDS = 0.25
 #: Consecutive holds without an answer after which a worker counts as unresponsive.
 MISSED_HOLDS_UNTIL_UNRESPONSIVE = 2
-#: A hold that ends without an answer no later than this after its wait was refused, or its
+#: A hold without an answer that ends at most this long after its wait time was refused, or its
 #: connection was reset.  A hold that was lost ends later, by its timeout.
 EARLY_END_TOLERANCE_SECONDS = 0.1
 #: Interval after which a worker that answered as unhealthy is polled again.
@@ -43,9 +43,9 @@
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunManager
+    run_manager : RunManager
         Abandons the runs of incarnations that have ended.
-    reports : RunReconciler
+    reconciler : RunReconciler
         Processes the lists that workers report.
     worker_registry : WorkerRegistry
         Knows the shard's workers.
@@ -54,13 +54,13 @@
     def __init__(
         self,
         context: ShardContext,
-        runs: RunManager,
-        reports: RunReconciler,
+        run_manager: RunManager,
+        reconciler: RunReconciler,
         worker_registry: WorkerRegistry,
     ) -> None:
         self._context = context
-        self._runs = runs
-        self._reports = reports
+        self._run_manager = run_manager
+        self._reconciler = reconciler
         self._worker_registry = worker_registry
         self._is_recovery_complete = False
         self._last_hold_number = 0
@@ -170,11 +170,11 @@
         worker.hold_answered_at = now
         worker.note_answer(now)
         was_reconciled = worker.contact is WorkerContact.RECONCILED
-        self._reports.reconcile(worker, result, sent_at, now)
+        self._reconciler.reconcile(worker, result, sent_at, now)
         if not was_reconciled:
             self._mark_reconciled(worker, result, now)
         if result.is_complete:
-            self._reports.settle_worker(worker, now)
+            self._reconciler.settle_worker(worker, now)
         self._after_answer(worker, now)
 
     def _mark_reconciled(self, worker: Worker, result: HoldResult, now: float) -> None:
@@ -230,7 +230,7 @@
     ) -> None:
         if worker.contact is WorkerContact.ENDED:
             if next_incarnation is not None:
-                self._runs.transfer_unconfirmed_starts(worker, next_incarnation, now)
+                self._run_manager.transfer_unconfirmed_starts(worker, next_incarnation, now)
             return
         worker.move_to(WorkerContact.ENDED)
         self._log_worker(
@@ -243,8 +243,8 @@
             if worker.last_answer_at
             else -1,
         )
-        self._runs.abandon_runs(worker, reason, now, next_incarnation)
-        self._reports.settle_worker(worker, now)
+        self._run_manager.abandon_runs(worker, reason, now, next_incarnation)
+        self._reconciler.settle_worker(worker, now)
         self._context.needs_placement = True
         if reason is IncarnationEndReason.OTHER_INCARNATION:
             worker.listing = WorkerListing.GONE
@@ -285,7 +285,7 @@
         self._context.log("recovery_complete", workers=len(self._context.table.workers))
         self._context.job_registry.is_recovering = False
         self._context.job_registry.settle_doubt(now)
-        self._runs.stop_incomplete_gangs(now)
+        self._run_manager.stop_incomplete_gangs(now)
         self._context.needs_placement = True
 
     def _log_worker(self, worker: Worker, event: str, **fields: str | int | float) -> None:
