--- a/features/steps/admission_holder_steps.py
+++ b/features/steps/admission_holder_steps.py
@@ -33,12 +33,12 @@
 
 def _refuse(_gate: Gate, job: HandIn, view: LoadView, now: float) -> Any:
     inputs = VerdictInputs(
-        ahead_seconds=0.0,
+        start_delay_seconds=0.0,
         advice_seconds=0.0,
         work_median_seconds=0.0,
         work_upper_seconds=0.0,
-        patience_seconds=0.0,
-        view_age_seconds=0.0,
+        seconds_to_expiry=0.0,
+        load_view_age_seconds=0.0,
     )
     return Refuse(RefusalReason.TOO_LATE, 1.0, inputs)
 
--- a/features/steps/admission_rule_steps.py
+++ b/features/steps/admission_rule_steps.py
@@ -13,7 +13,7 @@
 from placement_steps import SERVICE, _Scene
 
 from onyxspoke.core.admission.arrivals import ArrivalMeter
-from onyxspoke.core.admission.closings import MAXIMUM_TENANTS, Closings, Scope
+from onyxspoke.core.admission.closings import MAX_NOTICE_TENANTS, Closings, Scope
 from onyxspoke.core.admission.gate import Gate, closed_seconds
 from onyxspoke.core.admission.hand_in import HandIn, describe_hand_in
 from onyxspoke.core.admission.load_view import LoadView
@@ -164,11 +164,11 @@
             most = WHOLE_SECOND if is_urgent else PATIENT_SHARE
             slot = seconds.keep_slot("service", work, wait_seconds, most, now)
             if slot is not None:
-                assert slot.wait >= 1
-                assert slot.wait + 1e-9 >= wait_seconds
-                assert slot.second == int(now + slot.wait)
+                assert slot.retry_seconds >= 1
+                assert slot.retry_seconds + 1e-9 >= wait_seconds
+                assert slot.second == int(now + slot.retry_seconds)
                 told[slot.second] += 1
-                for second, _work in slot.parts:
+                for second, _work in slot.reservations:
                     context.worst = max(context.worst, seconds.kept_in("service", second))
                 context.compared += 1
 
@@ -198,7 +198,7 @@
     ]
     line = WaitingLine(works, 8.0)
     _CountedRank.compared = 0
-    line.ahead_of(_CountedRank(False, False, 1, Lateness.ON_TIME, count / 3, 0))
+    line.work_before(_CountedRank(False, False, 1, Lateness.ON_TIME, count / 3, 0))
     return _CountedRank.compared
 
 
@@ -352,7 +352,7 @@
 
 @when("their last use and their seconds are over")
 def _no_use(context: Any) -> None:
-    due_at = max(item.due_at for item in context.returns._refused.values())
+    due_at = max(item.retry_at for item in context.returns._refused.values())
     context.returns.keep(max(context.last_use_at, due_at) + 10.0)
 
 
@@ -401,7 +401,7 @@
 @then("its notice names 20 of them, and closes for as long as each of them is")
 def _notice(context: Any) -> None:
     [notice] = context.closings.notices(100.0)
-    assert len(notice.tenants) == MAXIMUM_TENANTS
+    assert len(notice.tenants) == MAX_NOTICE_TENANTS
     shortest = min(int(name.rpartition("-")[2]) for name in notice.tenants)
     assert notice.closed_seconds <= min(30.0, 5.0 + shortest)
 
--- a/src/onyxspoke/core/admission/board.py
+++ b/src/onyxspoke/core/admission/board.py
@@ -19,8 +19,8 @@
 #: No caller is told by a summary to stay away for longer.
 LONGEST_CLOSED_SECONDS = 30.0
 #: Callers are told whole seconds, so that less than this spreads nobody.
-SHORTEST_SPREAD_SECONDS = 1.0
-_HASHES = 1 << 32
+MIN_SPREAD_SECONDS = 1.0
+_HASH_COUNT = 1 << 32
 
 
 class ClosedQueue(NamedTuple):
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class _Entry:
+class _CachedSummary:
     """The newest summary of a shard, and when it was made by our clock."""
 
     summary: AdmissionSummary
@@ -50,30 +50,30 @@
     """
 
     def __init__(self, trust_seconds: float) -> None:
-        self._trust_seconds = trust_seconds
-        self._entries: dict[ShardId, _Entry] = {}
+        self._max_age_seconds = trust_seconds
+        self._cached: dict[ShardId, _CachedSummary] = {}
         #: The highest token of a holder of each shard that is known.
-        self._tokens: dict[ShardId, int] = {}
+        self._newest_tokens: dict[ShardId, int] = {}
 
     def note_holder(self, shard: ShardId, token: int) -> None:
         """Take note of a holder: what the holders before it told counts no more."""
-        if token <= self._tokens.get(shard, -1):
+        if token <= self._newest_tokens.get(shard, -1):
             return
-        self._tokens[shard] = token
-        entry = self._entries.get(shard)
-        if entry is not None and entry.summary.token < token:
-            del self._entries[shard]
+        self._newest_tokens[shard] = token
+        cached = self._cached.get(shard)
+        if cached is not None and cached.summary.token < token:
+            del self._cached[shard]
 
     def take(self, shard: ShardId, summary: AdmissionSummary, now: float) -> None:
         """Take a summary in, unless it is a former holder's or older than the one that is known."""
-        age = summary.age_seconds
-        if summary.token < self._tokens.get(shard, -1) or not 0.0 <= age < math.inf:
+        age_seconds = summary.age_seconds
+        if summary.token < self._newest_tokens.get(shard, -1) or not 0.0 <= age_seconds < math.inf:
             return
         self.note_holder(shard, summary.token)
-        made_at = now - age
-        known = self._entries.get(shard)
-        if known is None or made_at >= known.made_at:
-            self._entries[shard] = _Entry(summary, made_at)
+        made_at = now - age_seconds
+        previous = self._cached.get(shard)
+        if previous is None or made_at >= previous.made_at:
+            self._cached[shard] = _CachedSummary(summary, made_at)
 
     def decide(
         self, shard: ShardId, queue: str, tenant: TenantName, job_id: JobId, now: float
@@ -82,10 +82,10 @@
 
         Only for a job that was sent to no holder.
         """
-        entry = self._entries.get(shard)
-        if entry is None or now - entry.made_at >= self._trust_seconds:
+        cached = self._cached.get(shard)
+        if cached is None or now - cached.made_at >= self._max_age_seconds:
             return None
-        return self._seconds_away(entry, queue, tenant, job_id, now)
+        return self._spread_retry_seconds(cached, queue, tenant, job_id, now)
 
     def retry_seconds(
         self,
@@ -100,47 +100,51 @@
 
         Also an old summary tells until when its queue would be closed.
         """
-        entry = self._entries.get(shard)
-        seconds = None if entry is None else self._seconds_away(entry, queue, tenant, job_id, now)
+        cached = self._cached.get(shard)
+        seconds = (
+            None
+            if cached is None
+            else self._spread_retry_seconds(cached, queue, tenant, job_id, now)
+        )
         return default if seconds is None else max(default, seconds)
 
     def closed_queues(self, shard: ShardId, now: float) -> list[ClosedQueue]:
         """Return the queues of a shard that are closed by its holder's word, however old."""
-        entry = self._entries.get(shard)
-        if entry is None:
+        cached = self._cached.get(shard)
+        if cached is None:
             return []
-        age = now - entry.made_at
+        age_seconds = now - cached.made_at
         return [
             ClosedQueue(
                 notice.queue,
                 notice.tenants,
-                min(LONGEST_CLOSED_SECONDS, notice.closed_seconds - age),
-                age,
+                min(LONGEST_CLOSED_SECONDS, notice.closed_seconds - age_seconds),
+                age_seconds,
             )
-            for notice in entry.summary.notices
-            if notice.closed_seconds > age
+            for notice in cached.summary.notices
+            if notice.closed_seconds > age_seconds
         ]
 
     def age_seconds(self, shard: ShardId, now: float) -> float | None:
         """Return how old the summary of a shard is, if there is one."""
-        entry = self._entries.get(shard)
-        return None if entry is None else now - entry.made_at
+        cached = self._cached.get(shard)
+        return None if cached is None else now - cached.made_at
 
-    def _seconds_away(
-        self, entry: _Entry, queue: str, tenant: TenantName, job_id: JobId, now: float
+    def _spread_retry_seconds(
+        self, cached: _CachedSummary, queue: str, tenant: TenantName, job_id: JobId, now: float
     ) -> float | None:
         """Return the rest of the closed time and a part of as much again, by the job's hash.
 
         Entries that go by one summary would otherwise all name the same second.
         """
-        closed = [
+        closed_seconds = [
             notice.closed_seconds
-            for notice in entry.summary.notices
+            for notice in cached.summary.notices
             if notice.queue == queue and (not notice.tenants or tenant in notice.tenants)
         ]
-        rest = max(closed, default=0.0) - (now - entry.made_at)
-        if not rest > 0.0:
+        remaining_seconds = max(closed_seconds, default=0.0) - (now - cached.made_at)
+        if not remaining_seconds > 0.0:
             return None
-        rest = min(rest, LONGEST_CLOSED_SECONDS)
-        part = zlib.crc32(job_id.encode()) / _HASHES
-        return rest + part * max(rest, SHORTEST_SPREAD_SECONDS)
+        remaining_seconds = min(remaining_seconds, LONGEST_CLOSED_SECONDS)
+        spread_fraction = zlib.crc32(job_id.encode()) / _HASH_COUNT
+        return remaining_seconds + spread_fraction * max(remaining_seconds, MIN_SPREAD_SECONDS)
--- a/src/onyxspoke/core/admission/closings.py
+++ b/src/onyxspoke/core/admission/closings.py
@@ -9,11 +9,11 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 #: Tenants that a notice names at most.
-MAXIMUM_TENANTS = 20
+MAX_NOTICE_TENANTS = 20
 #: No queue is told to be closed for longer at once, in seconds.
-LONGEST_CLOSING_SECONDS = 30.0
+MAX_CLOSURE_SECONDS = 30.0
 #: A queue counts as open again when nothing was refused for so long, in seconds.
-OPEN_AGAIN_SECONDS = 1.0
+REOPEN_DELAY_SECONDS = 1.0
 
 
 class Scope(NamedTuple):
@@ -24,73 +24,77 @@
 
 
 @dataclass(slots=True)
-class _Closing:
-    began_at: float
+class _Closure:
+    started_at: float
     closed_until: float
-    refused_at: float
+    last_refused_at: float
 
 
 class Closings:
     """Follows refusals and tells which queues are closed."""
 
     def __init__(self) -> None:
-        self._closings: dict[Scope, _Closing] = {}
+        self._closures: dict[Scope, _Closure] = {}
 
     def note_refused(self, scope: Scope, seconds: float, now: float) -> bool:
         """A job was refused, and others like it for so long; return whether that is new."""
-        until = now + min(seconds, LONGEST_CLOSING_SECONDS)
-        closing = self._closings.get(scope)
-        if closing is None:
-            self._closings[scope] = _Closing(now, until, now)
+        closed_until = now + min(seconds, MAX_CLOSURE_SECONDS)
+        closure = self._closures.get(scope)
+        if closure is None:
+            self._closures[scope] = _Closure(now, closed_until, now)
             return True
-        closing.closed_until = until
-        closing.refused_at = now
+        closure.closed_until = closed_until
+        closure.last_refused_at = now
         return False
 
     def note_taken(self, scope: Scope, now: float) -> None:
         """A job was taken: it is not closed any more."""
-        closing = self._closings.get(scope)
-        if closing is not None:
-            closing.closed_until = min(closing.closed_until, now)
+        closure = self._closures.get(scope)
+        if closure is not None:
+            closure.closed_until = min(closure.closed_until, now)
 
     def closed_scopes(self, now: float) -> list[Scope]:
         """Return what is closed for some time to come."""
-        return [scope for scope, closing in self._closings.items() if closing.closed_until > now]
+        return [scope for scope, closure in self._closures.items() if closure.closed_until > now]
 
     def take_opened(self, now: float) -> list[tuple[Scope, float]]:
         """Return what is open again since the last call, and for how long it was closed."""
-        opened = []
-        for scope, closing in list(self._closings.items()):
-            open_at = max(closing.closed_until, closing.refused_at + OPEN_AGAIN_SECONDS)
-            if now >= open_at:
-                del self._closings[scope]
-                opened.append((scope, now - closing.began_at))
-        return opened
+        reopened = []
+        for scope, closure in list(self._closures.items()):
+            reopens_at = max(closure.closed_until, closure.last_refused_at + REOPEN_DELAY_SECONDS)
+            if now >= reopens_at:
+                del self._closures[scope]
+                reopened.append((scope, now - closure.started_at))
+        return reopened
 
     def clear(self) -> None:
         """Nothing is closed."""
-        self._closings.clear()
+        self._closures.clear()
 
     def notices(self, now: float) -> tuple[QueueNotice, ...]:
         """Return the queues that are closed; one for everybody's jobs names no tenants."""
-        tenants: dict[str, list[tuple[float, TenantName]]] = {}
+        closures_by_queue: dict[str, list[tuple[float, TenantName]]] = {}
         notices = {}
-        for scope, closing in self._closings.items():
-            left = closing.closed_until - now
-            if left <= 0.0:
+        for scope, closure in self._closures.items():
+            remaining_seconds = closure.closed_until - now
+            if remaining_seconds <= 0.0:
                 continue
             if not scope.tenant:
-                notices[scope.queue] = QueueNotice(queue=scope.queue, closed_seconds=left)
+                notices[scope.queue] = QueueNotice(
+                    queue=scope.queue, closed_seconds=remaining_seconds
+                )
             else:
-                tenants.setdefault(scope.queue, []).append((left, scope.tenant))
-        for queue, named in tenants.items():
+                closures_by_queue.setdefault(scope.queue, []).append(
+                    (remaining_seconds, scope.tenant)
+                )
+        for queue, tenant_closures in closures_by_queue.items():
             if queue not in notices:
-                named.sort(reverse=True)
-                notices[queue] = _notice(queue, named[:MAXIMUM_TENANTS])
+                tenant_closures.sort(reverse=True)
+                notices[queue] = _notice(queue, tenant_closures[:MAX_NOTICE_TENANTS])
         return tuple(notices.values())
 
 
-def _notice(queue: str, named: list[tuple[float, TenantName]]) -> QueueNotice:
+def _notice(queue: str, tenant_closures: list[tuple[float, TenantName]]) -> QueueNotice:
     """Return the notice for tenants' jobs: for no longer than the queue is closed for each."""
-    names = tuple(tenant for _left, tenant in named)
-    return QueueNotice(queue=queue, closed_seconds=named[-1][0], tenants=names)
+    tenant_names = tuple(tenant for _remaining_seconds, tenant in tenant_closures)
+    return QueueNotice(queue=queue, closed_seconds=tenant_closures[-1][0], tenants=tenant_names)
--- a/src/onyxspoke/core/admission/gate.py
+++ b/src/onyxspoke/core/admission/gate.py
@@ -10,7 +10,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.lane import Ahead
+from onyxspoke.core.admission.lane import DurationBounds
 from onyxspoke.core.admission.load_view import LoadView
 from onyxspoke.core.admission.verdict import (
     Admit,
@@ -24,7 +24,7 @@
 
 #: A caller is told to come back after so long at least, and at most, in seconds.
 SHORTEST_RETRY_SECONDS = 1.0
-LONGEST_RETRY_SECONDS = 120.0
+MAX_RETRY_SECONDS = 120.0
 
 
 class Gate:
@@ -35,30 +35,32 @@
 
         ``retry_after_seconds`` of a refusal is when what goes before the job is through.
         """
-        ahead = view.ahead_of(job)
-        inputs = _inputs(job, ahead or Ahead(0.0, 0.0), view, now)
-        if not job.has_end or job.objective_seconds <= 0.0:
+        delay = view.start_delay(job)
+        inputs = _verdict_inputs(job, delay or DurationBounds(0.0, 0.0), view, now)
+        if not job.is_finite or job.objective_seconds <= 0.0:
             return Admit(inputs)
-        if job.is_too_wide(view.quotas.get(job.tenant, Needs())):
-            return Refuse(RefusalReason.TOO_LATE, LONGEST_RETRY_SECONDS, inputs)
-        if ahead is None:
+        if job.exceeds_quota(view.quotas.get(job.tenant, Needs())):
+            return Refuse(RefusalReason.TOO_LATE, MAX_RETRY_SECONDS, inputs)
+        if delay is None:
             return Admit(inputs)
-        work = view.work_seconds(job)
-        best_end = max(ahead.best_seconds, job.advice_seconds) + work.best_seconds
-        worst_end = max(ahead.worst_seconds, job.advice_seconds) + work.worst_seconds
-        is_possible = best_end <= inputs.patience_seconds
-        if is_possible and job.is_awaited:
+        work = view.execution_seconds(job)
+        best_finish_seconds = max(delay.best_seconds, job.advice_seconds) + work.best_seconds
+        worst_finish_seconds = max(delay.worst_seconds, job.advice_seconds) + work.worst_seconds
+        may_finish_in_time = best_finish_seconds <= inputs.seconds_to_expiry
+        if may_finish_in_time and job.is_awaited:
             return Admit(inputs)
         is_owed = not job.rank.is_beyond_share
-        if is_owed and best_end <= job.on_time_until - now:
+        if is_owed and best_finish_seconds <= job.objective_ends_at - now:
             return Admit(inputs)
-        may_be_taken = worst_end <= inputs.patience_seconds or (is_possible and is_owed)
-        if may_be_taken and not view.pushes_promised(job):
+        may_admit = worst_finish_seconds <= inputs.seconds_to_expiry or (
+            may_finish_in_time and is_owed
+        )
+        if may_admit and not view.would_expire_late_job(job):
             return Admit(inputs)
-        if _can_begin_now(job, view, inputs):
+        if _can_start_now(job, view, inputs):
             return Admit(inputs)
-        reason = RefusalReason.IN_DOUBT if is_possible else RefusalReason.TOO_LATE
-        return Refuse(reason, _retry_seconds(job, ahead), inputs)
+        reason = RefusalReason.IN_DOUBT if may_finish_in_time else RefusalReason.TOO_LATE
+        return Refuse(reason, _retry_seconds(job, delay), inputs)
 
 
 def closed_seconds(job: HandIn, verdict: Refuse) -> float:
@@ -67,37 +69,39 @@
     One that is refused because it would push late jobs has to wait until those are through.
     """
     inputs = verdict.inputs
-    is_in_doubt = verdict.reason is RefusalReason.IN_DOUBT
-    if is_in_doubt and not job.rank.is_beyond_share:
+    is_uncertain = verdict.reason is RefusalReason.IN_DOUBT
+    if is_uncertain and not job.rank.is_beyond_share:
         return verdict.retry_after_seconds
     # Its own width closes nothing: narrower jobs of its queue may be taken.
-    ahead, taken = inputs.ahead_seconds, job.chain_median_seconds
-    if is_in_doubt:
-        ahead, taken = inputs.ahead_upper_seconds, job.chain_upper_seconds
-    patience = EXPIRY_FACTOR * job.objective_seconds
-    return max(ahead, inputs.advice_seconds) + taken - patience
+    delay, duration_seconds = inputs.start_delay_seconds, job.chain_median_seconds
+    if is_uncertain:
+        delay, duration_seconds = inputs.start_delay_upper_seconds, job.chain_upper_seconds
+    expiry_seconds = EXPIRY_FACTOR * job.objective_seconds
+    return max(delay, inputs.advice_seconds) + duration_seconds - expiry_seconds
 
 
-def _can_begin_now(job: HandIn, view: LoadView, inputs: VerdictInputs) -> bool:
+def _can_start_now(job: HandIn, view: LoadView, inputs: VerdictInputs) -> bool:
     """Return whether free workers could run a job, and advice about them comes in time."""
-    time_for_advice = inputs.patience_seconds - job.chain_median_seconds
-    is_advised = job.advice_seconds <= max(time_for_advice, job.objective_seconds)
-    return is_advised and view.has_room_for(job)
+    max_advice_seconds = inputs.seconds_to_expiry - job.chain_median_seconds
+    is_advice_in_time = job.advice_seconds <= max(max_advice_seconds, job.objective_seconds)
+    return is_advice_in_time and view.has_capacity_for(job)
 
 
-def _retry_seconds(job: HandIn, ahead: Ahead) -> float:
+def _retry_seconds(job: HandIn, delay: DurationBounds) -> float:
     """Return when what goes before a job is through."""
-    seconds = max(ahead.best_seconds, job.advice_seconds)
-    return min(max(seconds, SHORTEST_RETRY_SECONDS), LONGEST_RETRY_SECONDS)
+    seconds = max(delay.best_seconds, job.advice_seconds)
+    return min(max(seconds, SHORTEST_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
 
-def _inputs(job: HandIn, ahead: Ahead, view: LoadView, now: float) -> VerdictInputs:
+def _verdict_inputs(
+    job: HandIn, delay: DurationBounds, view: LoadView, now: float
+) -> VerdictInputs:
     return VerdictInputs(
-        ahead_seconds=ahead.best_seconds,
+        start_delay_seconds=delay.best_seconds,
         advice_seconds=job.advice_seconds,
         work_median_seconds=job.chain_median_seconds,
         work_upper_seconds=job.chain_upper_seconds,
-        patience_seconds=job.last_use_at - now,
-        view_age_seconds=now - view.made_at,
-        ahead_upper_seconds=ahead.worst_seconds,
+        seconds_to_expiry=job.last_use_at - now,
+        load_view_age_seconds=now - view.made_at,
+        start_delay_upper_seconds=delay.worst_seconds,
     )
--- a/src/onyxspoke/core/admission/hand_in.py
+++ b/src/onyxspoke/core/admission/hand_in.py
@@ -31,7 +31,7 @@
     """
 
     needs: Needs
-    tasks: int
+    task_count: int
     low_seconds: float
     median_seconds: float
     upper_seconds: float
@@ -52,7 +52,7 @@
         Within how long it should be done; 0 or less where nothing is asked for.
     rank : StepRank
         The place in the waiting line that its first step would take.
-    has_end : bool
+    is_finite : bool
         It is of use once it is done: no repetitions, no tasks that last.
     is_awaited : bool
         It was refused, and comes back when it was told to.
@@ -71,12 +71,12 @@
     steps: tuple[StepWork, ...]
     chain_median_seconds: float
     chain_upper_seconds: float
-    has_end: bool = True
+    is_finite: bool = True
     is_awaited: bool = False
     advice_seconds: float = 0.0
 
     @property
-    def on_time_until(self) -> float:
+    def objective_ends_at(self) -> float:
         """The holder's second until which its outcome is on time."""
         return self.first_at + self.objective_seconds
 
@@ -85,16 +85,19 @@
         """The holder's second after which its outcome is of no use to its caller."""
         return self.first_at + EXPIRY_FACTOR * self.objective_seconds
 
-    def is_too_wide(self, quota: Needs) -> bool:
+    def exceeds_quota(self, quota: Needs) -> bool:
         """Return whether a quota, of which 0 sets no limit, certainly never lets it run."""
         for step in self.steps:
-            together = times(step.needs, step.tasks) if step.is_gang else step.needs
-            if any(most and need > most for need, most in zip(together, quota, strict=True)):
+            simultaneous_needs = times(step.needs, step.task_count) if step.is_gang else step.needs
+            if any(
+                limit and need > limit
+                for need, limit in zip(simultaneous_needs, quota, strict=True)
+            ):
                 return True
         return False
 
 
-def low_seconds(expected: Expected) -> float:
+def min_task_seconds(expected: Expected) -> float:
     """Return how long a task takes at least, as the order of what waits counts it, too."""
     return CERTAIN_SHARE * max(0.0, expected.median_seconds)
 
@@ -108,11 +111,13 @@
     is_awaited: bool = False,
 ) -> HandIn:
     """Return what the decision needs of a job."""
-    steps = tuple(_step_works(spec, durations))
-    median, upper = _chain(spec, steps)
+    steps = tuple(_estimate_steps(spec, durations))
+    median_seconds, upper_seconds = _longest_chain_seconds(spec, steps)
     # By the work as it is known, as the order of what waits has it.
-    objective = spec.queue.stretch * median + spec.queue.target_latency_ms / _MILLISECONDS
-    latest_start = first_at + objective - median
+    objective_seconds = (
+        spec.queue.stretch * median_seconds + spec.queue.target_latency_ms / _MILLISECONDS
+    )
+    latest_start = first_at + objective_seconds - median_seconds
     rank = StepRank(False, spec.is_beyond_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
     return HandIn(
         service=queue.service,
@@ -120,39 +125,45 @@
         tenant=spec.tenant,
         rank=rank,
         first_at=first_at,
-        objective_seconds=objective,
+        objective_seconds=objective_seconds,
         steps=steps,
-        chain_median_seconds=median,
-        chain_upper_seconds=upper,
-        has_end=not spec.schedule.count and not any(step.long_running for step in spec.steps),
+        chain_median_seconds=median_seconds,
+        chain_upper_seconds=upper_seconds,
+        is_finite=not spec.schedule.count and not any(step.long_running for step in spec.steps),
         is_awaited=is_awaited,
     )
 
 
-def _step_works(spec: JobSpec, durations: Durations) -> list[StepWork]:
-    works = []
+def _estimate_steps(spec: JobSpec, durations: Durations) -> list[StepWork]:
+    step_works = []
     for step in spec.steps:
         expected = durations.expected(spec.queue.name, spec.tenant, step.estimated_ms)
-        work = StepWork(
+        step_work = StepWork(
             needs=step.needs,
-            tasks=step.task_count,
-            low_seconds=low_seconds(expected),
+            task_count=step.task_count,
+            low_seconds=min_task_seconds(expected),
             median_seconds=max(0.0, expected.median_seconds),
             upper_seconds=max(0.0, expected.upper_seconds),
             is_first=not step.depends_on,
             label=step.required_label,
             is_gang=step.gang,
         )
-        works.append(work)
-    return works
+        step_works.append(step_work)
+    return step_works
 
 
-def _chain(spec: JobSpec, works: tuple[StepWork, ...]) -> tuple[float, float]:
+def _longest_chain_seconds(spec: JobSpec, step_works: tuple[StepWork, ...]) -> tuple[float, float]:
     """Return the median and the upper seconds of the longest chain of steps."""
-    ends: list[tuple[float, float]] = []
-    for step, work in zip(spec.steps, works, strict=True):
-        median = max((ends[number][0] for number in step.depends_on), default=0.0)
-        upper = max((ends[number][1] for number in step.depends_on), default=0.0)
-        ends.append((median + work.median_seconds, upper + work.upper_seconds))
-    longest_median = max((end[0] for end in ends), default=0.0)
-    return longest_median, max((end[1] for end in ends), default=0.0)
+    chain_ends: list[tuple[float, float]] = []
+    for step, step_work in zip(spec.steps, step_works, strict=True):
+        median_seconds = max(
+            (chain_ends[dependency][0] for dependency in step.depends_on), default=0.0
+        )
+        upper_seconds = max(
+            (chain_ends[dependency][1] for dependency in step.depends_on), default=0.0
+        )
+        chain_ends.append(
+            (median_seconds + step_work.median_seconds, upper_seconds + step_work.upper_seconds)
+        )
+    longest_median_seconds = max((chain_end[0] for chain_end in chain_ends), default=0.0)
+    return longest_median_seconds, max((chain_end[1] for chain_end in chain_ends), default=0.0)
--- a/src/onyxspoke/core/admission/lane.py
+++ b/src/onyxspoke/core/admission/lane.py
@@ -7,31 +7,31 @@
 from typing import NamedTuple
 
 from onyxspoke.core.admission.arrivals import (
-    BEST_CASE_SHARE,
-    MOST_FILLED,
+    BEST_CASE_ARRIVAL_SHARE,
+    MAX_ARRIVAL_SHARE,
     RankClass,
-    class_of,
-    slowed,
+    delayed_by_arrivals,
+    rank_class_of,
 )
 from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.promises import LateWork, Promises
+from onyxspoke.core.admission.promises import LateJobMargins, LateWork
 from onyxspoke.core.admission.room_curve import RoomCurve
 from onyxspoke.core.admission.waiting_line import (
-    HORIZONS,
+    HORIZONS_SECONDS,
     WaitingLine,
     WaitingWork,
-    WorkAhead,
-    horizon_of,
+    WorkEstimate,
+    horizon_for,
 )
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
 from onyxspoke.core.placement.reservations import HELD_SHARE
 
 #: Of the room, what waiting gangs may hold does no work; so much does in the worst case.
-USED_SHARE = 1.0 - HELD_SHARE
+WORST_CASE_USED_SHARE = 1.0 - HELD_SHARE
 
 
-def share_of(needs: Needs, total: Needs) -> float:
+def dominant_share(needs: Needs, total: Needs) -> float:
     """Return the largest share that an amount has of what there is of a resource."""
     share = needs[0] / total[0] if total[0] > 0 else 0.0
     if needs[1] > 0 and total[1] > 0:
@@ -41,24 +41,24 @@
     return share
 
 
-class RoomHeld(NamedTuple):
+class HeldCapacity(NamedTuple):
     """A share of the room that a run holds.
 
     Attributes
     ----------
     seconds : float
         Until it is free; infinity where that is not known.
-    may_give_way : bool
+    is_preemptible : bool
         Work of an earlier queue may take its place.
     """
 
     seconds: float
     share: float
     priority: int
-    may_give_way: bool
+    is_preemptible: bool
 
 
-class Ahead(NamedTuple):
+class DurationBounds(NamedTuple):
     """Seconds until a job could begin, or that it takes, at best and at worst."""
 
     best_seconds: float
@@ -75,11 +75,11 @@
         All that there is; what shares are of.
     works : list of WaitingWork
         What waits, in order.
-    held : list of RoomHeld
+    held : list of HeldCapacity
         By what runs there.
-    spare_factor : float
+    best_case_capacity_factor : float
         How much there would be, as a multiple, were everything in order.
-    held_of_spare : list of RoomHeld
+    held_on_unsettled : list of HeldCapacity
         Of what would be there then, by runs that are known.
     stop_seconds : float
         How long a run takes to give way.
@@ -91,139 +91,143 @@
 
     total: Needs
     works: list[WaitingWork]
-    held: list[RoomHeld]
-    spare_factor: float = 1.0
-    held_of_spare: list[RoomHeld] = field(default_factory=list)
+    held: list[HeldCapacity]
+    best_case_capacity_factor: float = 1.0
+    held_on_unsettled: list[HeldCapacity] = field(default_factory=list)
     stop_seconds: float = 0.0
-    coming: dict[RankClass, float] = field(default_factory=dict)
-    late: dict[RankClass, list[LateWork]] = field(default_factory=dict)
+    arrival_rates: dict[RankClass, float] = field(default_factory=dict)
+    late_work: dict[RankClass, list[LateWork]] = field(default_factory=dict)
     #: Taken in since.
-    _added: list[WaitingWork] = field(default_factory=list)
-    _lines: dict[float, WaitingLine] = field(default_factory=dict)
-    _promises: dict[RankClass, Promises] = field(default_factory=dict)
+    _admitted: list[WaitingWork] = field(default_factory=list)
+    _queues: dict[float, WaitingLine] = field(default_factory=dict)
+    _margins: dict[RankClass, LateJobMargins] = field(default_factory=dict)
     #: The job whose work was worked out last.
-    _worked_out: tuple[HandIn, WorkAhead] | None = None
+    _last_estimate: tuple[HandIn, WorkEstimate] | None = None
     _curves: dict[tuple[int, bool], RoomCurve] = field(default_factory=dict)
 
-    def ahead_of(self, job: HandIn) -> Ahead:
+    def start_delay(self, job: HandIn) -> DurationBounds:
         """Return when a job could begin."""
         rank = job.rank
-        patience = EXPIRY_FACTOR * job.objective_seconds
-        ahead = self._line(horizon_of(patience)).ahead_of(rank)
-        in_order = self._curve(rank.priority, is_in_order=True)
-        curve = self._curve(rank.priority)
-        narrowest = self._narrowest(job)
-        coming = self._coming_before(class_of(rank))
+        expiry_seconds = EXPIRY_FACTOR * job.objective_seconds
+        ahead = self._queue(horizon_for(expiry_seconds)).work_before(rank)
+        best_case_curve = self._curve(rank.priority, is_best_case=True)
+        worst_case_curve = self._curve(rank.priority)
+        smallest_task_share = self._smallest_task_share(job)
+        arrival_rate = self._arrival_rate_before(rank_class_of(rank))
         # When the last of what goes first begins, tasks are at work that are half through.
-        best = in_order.seconds_until(ahead.low) - ahead.task_seconds / 2.0
-        least = in_order.seconds_until_free(min(narrowest, self.spare_factor))
-        best = slowed(max(least, best), BEST_CASE_SHARE * coming)
-        worst = curve.seconds_until(ahead.high / USED_SHARE)
-        least = curve.seconds_until_free(min(narrowest, 1.0))
-        worst = slowed(max(least, worst), coming)
-        return Ahead(best, max(best, worst))
-
-    def _narrowest(self, job: HandIn) -> float:
+        best = best_case_curve.seconds_until(ahead.low) - ahead.task_seconds / 2.0
+        least = best_case_curve.seconds_until_free(
+            min(smallest_task_share, self.best_case_capacity_factor)
+        )
+        best = delayed_by_arrivals(max(least, best), BEST_CASE_ARRIVAL_SHARE * arrival_rate)
+        worst = worst_case_curve.seconds_until(ahead.high / WORST_CASE_USED_SHARE)
+        least = worst_case_curve.seconds_until_free(min(smallest_task_share, 1.0))
+        worst = delayed_by_arrivals(max(least, worst), arrival_rate)
+        return DurationBounds(best, max(best, worst))
+
+    def _smallest_task_share(self, job: HandIn) -> float:
         """Return the share that one task of what a job begins with takes."""
-        shares = [share_of(step.needs, self.total) for step in job.steps if step.is_first]
+        shares = [dominant_share(step.needs, self.total) for step in job.steps if step.is_first]
         return min(shares, default=0.0)
 
     def left_for(self, rank: StepRank) -> float:
         """Return which share of the room is left by what comes in and goes first."""
-        return 1.0 - min(MOST_FILLED, self._coming_before(class_of(rank)))
+        return 1.0 - min(MAX_ARRIVAL_SHARE, self._arrival_rate_before(rank_class_of(rank)))
 
-    def _coming_before(self, own: RankClass) -> float:
-        return sum(rate for other, rate in self.coming.items() if other < own)
+    def _arrival_rate_before(self, rank_class: RankClass) -> float:
+        return sum(rate for other, rate in self.arrival_rates.items() if other < rank_class)
 
-    def pushes_promised(self, job: HandIn) -> bool:
+    def would_expire_late_job(self, job: HandIn) -> bool:
         """Return whether a late job that was taken would come too late for this one.
 
         A forecast is no finer than a task is long, and so is what is left between them.
         """
-        promises = self._promises_of(class_of(job.rank))
-        if promises is None:
+        margins = self._margins_of(rank_class_of(job.rank))
+        if margins is None:
             return False
         work = self.work_of(job)
-        return promises.are_pushed_by(work.low + work.task_seconds)
+        return margins.any_expires_after(work.low + work.task_seconds)
 
-    def _line(self, horizon: float) -> WaitingLine:
-        line = self._lines.get(horizon)
-        if line is None:
-            line = self._lines[horizon] = WaitingLine(self.works, horizon)
-            for work in self._added:
-                line.add(work)
-        return line
+    def _queue(self, horizon: float) -> WaitingLine:
+        queue = self._queues.get(horizon)
+        if queue is None:
+            queue = self._queues[horizon] = WaitingLine(self.works, horizon)
+            for work in self._admitted:
+                queue.add(work)
+        return queue
 
     def add(self, job: HandIn) -> None:
         """Count a job that was taken in since."""
-        promises = self._promises_of(class_of(job.rank))
-        if promises is not None:
-            promises.add(self.work_of(job).low)
+        margins = self._margins_of(rank_class_of(job.rank))
+        if margins is not None:
+            margins.add(self.work_of(job).low)
         for step in job.steps:
-            share = share_of(step.needs, self.total) * step.tasks
+            share = dominant_share(step.needs, self.total) * step.task_count
             work = WaitingWork(job.rank, share, step.low_seconds, step.upper_seconds)
-            self._added.append(work)
-            for line in self._lines.values():
-                line.add(work)
+            self._admitted.append(work)
+            for queue in self._queues.values():
+                queue.add(work)
 
-    def _promises_of(self, own: RankClass) -> Promises | None:
-        late = self.late.get(own)
-        if late is None:
+    def _margins_of(self, rank_class: RankClass) -> LateJobMargins | None:
+        late_work = self.late_work.get(rank_class)
+        if late_work is None:
             return None
-        promises = self._promises.get(own)
-        if promises is None:
-            promises = self._promises[own] = self._make_promises(own, late)
-        return promises
-
-    def _make_promises(self, own: RankClass, late: list[LateWork]) -> Promises:
-        last = StepRank(False, own.is_beyond_share, own.priority, Lateness.EXPIRED, 0.0, 0)
-        waiting = sum(item.work for item in late if not item.begins_in_seconds)
-        on_time = self._line(HORIZONS[-1]).ahead_of(last).low - waiting
-        curve = self._curve(own.priority, is_in_order=True)
-        coming = self._coming_before(own)
+        margins = self._margins.get(rank_class)
+        if margins is None:
+            margins = self._margins[rank_class] = self._make_margins(rank_class, late_work)
+        return margins
+
+    def _make_margins(self, rank_class: RankClass, late_work: list[LateWork]) -> LateJobMargins:
+        last_rank = StepRank(
+            False, rank_class.is_over_share, rank_class.priority, Lateness.EXPIRED, 0.0, 0
+        )
+        waiting = sum(item.work for item in late_work if not item.earliest_start_seconds)
+        on_time = self._queue(HORIZONS_SECONDS[-1]).work_before(last_rank).low - waiting
+        curve = self._curve(rank_class.priority, is_best_case=True)
+        arrival_rate = self._arrival_rate_before(rank_class)
 
         def seconds_until(work: float) -> float:
-            return slowed(curve.seconds_until(work), coming)
+            return delayed_by_arrivals(curve.seconds_until(work), arrival_rate)
 
-        return Promises(late, on_time, seconds_until)
+        return LateJobMargins(late_work, on_time, seconds_until)
 
-    def work_of(self, job: HandIn) -> WorkAhead:
+    def work_of(self, job: HandIn) -> WorkEstimate:
         """Return the work of a job, and the length of its longest task."""
-        if self._worked_out is None or self._worked_out[0] is not job:
-            self._worked_out = (job, self.work_within(job, HORIZONS[-1]))
-        return self._worked_out[1]
+        if self._last_estimate is None or self._last_estimate[0] is not job:
+            self._last_estimate = (job, self.work_within(job, HORIZONS_SECONDS[-1]))
+        return self._last_estimate[1]
 
-    def work_within(self, job: HandIn, horizon: float) -> WorkAhead:
+    def work_within(self, job: HandIn, horizon: float) -> WorkEstimate:
         """Return the same, with no task counted for longer than so many seconds."""
-        low = high = longest = 0.0
+        low = high = longest_task_seconds = 0.0
         for step in job.steps:
-            share = share_of(step.needs, self.total) * step.tasks
+            share = dominant_share(step.needs, self.total) * step.task_count
             low += share * min(step.low_seconds, horizon)
             high += share * min(step.upper_seconds, horizon)
-            longest = max(longest, min(step.median_seconds, horizon))
-        return WorkAhead(low, high, longest)
+            longest_task_seconds = max(longest_task_seconds, min(step.median_seconds, horizon))
+        return WorkEstimate(low, high, longest_task_seconds)
 
-    def _curve(self, priority: int, *, is_in_order: bool = False) -> RoomCurve:
+    def _curve(self, priority: int, *, is_best_case: bool = False) -> RoomCurve:
         """Return how room comes free for a queue; of all that would be there in the best case.
 
         A worker that was not heard yet may stand free, and be heard the next moment.
         """
-        is_in_order = is_in_order and self.spare_factor > 1.0
-        curve = self._curves.get((priority, is_in_order))
+        is_best_case = is_best_case and self.best_case_capacity_factor > 1.0
+        curve = self._curves.get((priority, is_best_case))
         if curve is None:
-            total = self.spare_factor if is_in_order else 1.0
-            held = self.held + self.held_of_spare if is_in_order else self.held
-            curve = self._curves[priority, is_in_order] = self._make_curve(priority, total, held)
+            total = self.best_case_capacity_factor if is_best_case else 1.0
+            held = self.held + self.held_on_unsettled if is_best_case else self.held
+            curve = self._curves[priority, is_best_case] = self._make_curve(priority, total, held)
         return curve
 
-    def _make_curve(self, priority: int, total: float, held: list[RoomHeld]) -> RoomCurve:
+    def _make_curve(self, priority: int, total: float, held: list[HeldCapacity]) -> RoomCurve:
         """Return how room comes free for a queue: later ones' runs give way where they can."""
         ends = []
         free = total
         for run in held:
             free -= run.share
             seconds = run.seconds
-            if run.may_give_way and run.priority > priority:
+            if run.is_preemptible and run.priority > priority:
                 seconds = min(seconds, self.stop_seconds)
             if seconds < math.inf:
                 ends.append((seconds, run.share))
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -6,16 +6,16 @@
 from typing import NamedTuple
 
 from onyxspoke.core.admission.hand_in import HandIn, StepWork
-from onyxspoke.core.admission.lane import Ahead, Lane, share_of
+from onyxspoke.core.admission.lane import DurationBounds, Lane, dominant_share
 from onyxspoke.core.jobs.amounts import minus, slots_within, times
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.tenants.policy import TenantName
 
 
-class FreeRoom(NamedTuple):
+class FreeCapacity(NamedTuple):
     """Room of one worker that nothing holds."""
 
-    room: Needs
+    resources: Needs
     labels: tuple[str, ...]
 
 
@@ -31,50 +31,50 @@
         By service; one without workers is not there.
     quotas : dict of TenantName to Needs
         Of tenants that have one.
-    tenant_lanes : dict of TenantName to Lane
+    quota_pools : dict of TenantName to Lane
         Of those.
-    free : dict of str to list of FreeRoom
+    free : dict of str to list of FreeCapacity
         By service, the workers that have room, with the most processors first.
     """
 
     made_at: float
     lanes: dict[str, Lane]
     quotas: dict[TenantName, Needs] = field(default_factory=dict)
-    tenant_lanes: dict[TenantName, Lane] = field(default_factory=dict)
-    free: dict[str, list[FreeRoom]] = field(default_factory=dict)
+    quota_pools: dict[TenantName, Lane] = field(default_factory=dict)
+    free_capacity: dict[str, list[FreeCapacity]] = field(default_factory=dict)
     #: What was taken in since and has no room yet, by service.
-    _added: dict[str, Needs] = field(default_factory=dict)
+    _admitted_needs: dict[str, Needs] = field(default_factory=dict)
 
-    def ahead_of(self, job: HandIn) -> Ahead | None:
+    def start_delay(self, job: HandIn) -> DurationBounds | None:
         """Return when a job could begin, or nothing where that is not known."""
         lane = self.lanes.get(job.service)
         if lane is None:
             return None
-        ahead = lane.ahead_of(job)
-        own = self.tenant_lanes.get(job.tenant)
-        if own is None:
-            return ahead
-        of_own = own.ahead_of(job)
-        best = max(ahead.best_seconds, of_own.best_seconds)
-        return Ahead(best, max(ahead.worst_seconds, of_own.worst_seconds))
+        delay = lane.start_delay(job)
+        quota_pool = self.quota_pools.get(job.tenant)
+        if quota_pool is None:
+            return delay
+        quota_delay = quota_pool.start_delay(job)
+        best = max(delay.best_seconds, quota_delay.best_seconds)
+        return DurationBounds(best, max(delay.worst_seconds, quota_delay.worst_seconds))
 
     def is_held_by_quota(self, job: HandIn) -> bool:
         """Return whether a job waits for its tenant's quota rather than for workers."""
-        own = self.tenant_lanes.get(job.tenant)
+        quota_pool = self.quota_pools.get(job.tenant)
         lane = self.lanes.get(job.service)
-        if own is None or lane is None:
+        if quota_pool is None or lane is None:
             return False
-        return own.ahead_of(job).best_seconds > lane.ahead_of(job).best_seconds
+        return quota_pool.start_delay(job).best_seconds > lane.start_delay(job).best_seconds
 
-    def work_seconds(self, job: HandIn) -> Ahead:
+    def execution_seconds(self, job: HandIn) -> DurationBounds:
         """Return how long a job itself takes: its longest chain, or more where it is wide."""
         best, worst = job.chain_median_seconds, job.chain_upper_seconds
-        for lane in (self.lanes.get(job.service), self.tenant_lanes.get(job.tenant)):
+        for lane in (self.lanes.get(job.service), self.quota_pools.get(job.tenant)):
             if lane is not None:
                 work = lane.work_of(job)
-                best = max(best, work.low / lane.spare_factor)
+                best = max(best, work.low / lane.best_case_capacity_factor)
                 worst = max(worst, work.high)
-        return Ahead(best, worst)
+        return DurationBounds(best, worst)
 
     def add(self, job: HandIn) -> None:
         """Count a job that was taken in since."""
@@ -82,59 +82,61 @@
         if lane is None:
             return
         lane.add(job)
-        own = self.tenant_lanes.get(job.tenant)
-        if own is not None:
-            own.add(job)
-        added = self._added.get(job.service, Needs())
+        quota_pool = self.quota_pools.get(job.tenant)
+        if quota_pool is not None:
+            quota_pool.add(job)
+        admitted_needs = self._admitted_needs.get(job.service, Needs())
         for step in job.steps:
             if step.is_first:
-                added = minus(added, times(step.needs, -step.tasks))
-        self._added[job.service] = added
+                admitted_needs = minus(admitted_needs, times(step.needs, -step.task_count))
+        self._admitted_needs[job.service] = admitted_needs
 
-    def pushes_promised(self, job: HandIn) -> bool:
+    def would_expire_late_job(self, job: HandIn) -> bool:
         """Return whether a late job that was taken would come too late for this one."""
         lane = self.lanes.get(job.service)
-        return lane is not None and lane.pushes_promised(job)
+        return lane is not None and lane.would_expire_late_job(job)
 
-    def has_room_for(self, job: HandIn) -> bool:
+    def has_capacity_for(self, job: HandIn) -> bool:
         """Return whether every task that a job begins with has room now."""
-        workers = self.free.get(job.service, [])
-        taken = self._added.get(job.service, Needs())
+        workers = self.free_capacity.get(job.service, [])
+        admitted_needs = self._admitted_needs.get(job.service, Needs())
         return all(
-            _fits(step, workers, taken) for step in job.steps if step.is_first
+            _fits(step, workers, admitted_needs) for step in job.steps if step.is_first
         ) and self._is_within_quota(job)
 
     def _is_within_quota(self, job: HandIn) -> bool:
-        own = self.tenant_lanes.get(job.tenant)
-        if own is None:
+        quota_pool = self.quota_pools.get(job.tenant)
+        if quota_pool is None:
             return True
-        free = 1.0 - sum(held.share for held in own.held)
-        wanted = sum(
-            share_of(step.needs, own.total) * step.tasks for step in job.steps if step.is_first
+        free_share = 1.0 - sum(held.share for held in quota_pool.held)
+        needed_share = sum(
+            dominant_share(step.needs, quota_pool.total) * step.task_count
+            for step in job.steps
+            if step.is_first
         )
-        return wanted <= free
+        return needed_share <= free_share
 
 
-def _fits(step: StepWork, workers: list[FreeRoom], taken: Needs) -> bool:
+def _fits(step: StepWork, workers: list[FreeCapacity], admitted_needs: Needs) -> bool:
     """Return whether a step's tasks have room beside what others will take of it."""
-    missing = step.tasks
-    if any(taken):
-        missing += _tasks_displaced(step.needs, taken)
+    missing_tasks = step.task_count
+    if any(admitted_needs):
+        missing_tasks += _tasks_displaced(step.needs, admitted_needs)
     for worker in workers:
-        if worker.room.processors_milli < step.needs.processors_milli:
+        if worker.resources.processors_milli < step.needs.processors_milli:
             return False
         if step.label and step.label not in worker.labels:
             continue
-        missing -= slots_within(worker.room, step.needs)
-        if missing <= 0:
+        missing_tasks -= slots_within(worker.resources, step.needs)
+        if missing_tasks <= 0:
             return True
     return False
 
 
-def _tasks_displaced(needs: Needs, taken: Needs) -> int:
+def _tasks_displaced(needs: Needs, admitted_needs: Needs) -> int:
     """Return for how many tasks there is less room, with so much of it taken."""
     displaced = 0
-    for need, amount in zip(needs, taken, strict=True):
+    for need, amount in zip(needs, admitted_needs, strict=True):
         if need > 0:
             displaced = max(displaced, -(-amount // need))
     return displaced
--- a/src/onyxspoke/core/admission/promises.py
+++ b/src/onyxspoke/core/admission/promises.py
@@ -19,45 +19,50 @@
         For how long it may still wait and be of use.
     work : float
         In share-seconds.
-    begins_in_seconds : float
+    earliest_start_seconds : float
         Before then it does not begin: it was refused, and comes back when it was told to.
     """
 
     slack_seconds: float
     work: float
-    begins_in_seconds: float = 0.0
+    earliest_start_seconds: float = 0.0
 
 
-class Promises:
+class LateJobMargins:
     """The room for more work before late jobs of one class.
 
     Parameters
     ----------
     late : list of LateWork
         In any order; what has least time left goes first.
-    work_before : float
+    preceding_work : float
         What goes before them, in share-seconds.
-    seconds_until : callable
+    seconds_until_started : callable
         Returns in how many seconds so much work has begun.
     """
 
     def __init__(
-        self, late: list[LateWork], work_before: float, seconds_until: Callable[[float], float]
+        self,
+        late_works: list[LateWork],
+        preceding_work: float,
+        seconds_until_started: Callable[[float], float],
     ) -> None:
         margins = []
-        for item in sorted(late):
-            begins_in = max(item.begins_in_seconds, seconds_until(work_before))
-            margins.append(item.slack_seconds - begins_in)
-            work_before += item.work
+        for late_work in sorted(late_works):
+            start_seconds = max(
+                late_work.earliest_start_seconds, seconds_until_started(preceding_work)
+            )
+            margins.append(late_work.slack_seconds - start_seconds)
+            preceding_work += late_work.work
         #: Those that come too late anyhow are not pushed any more.
         self._margins = sorted(margin for margin in margins if margin >= 0.0)
-        self._added = 0.0
+        self._admitted_work = 0.0
 
     def add(self, work: float) -> None:
         """More work was taken in that goes before."""
-        self._added += work
+        self._admitted_work += work
 
-    def are_pushed_by(self, work: float) -> bool:
+    def any_expires_after(self, work: float) -> bool:
         """Return whether with so much more work some job would come too late that would not."""
-        at = bisect_left(self._margins, self._added)
-        return at < len(self._margins) and self._margins[at] < self._added + work
+        index = bisect_left(self._margins, self._admitted_work)
+        return index < len(self._margins) and self._margins[index] < self._admitted_work + work
--- a/src/onyxspoke/core/admission/returns.py
+++ b/src/onyxspoke/core/admission/returns.py
@@ -13,8 +13,8 @@
 from hashlib import blake2b
 
 from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.slots import LONGEST_WAIT_SECONDS, ServedSeconds, Slot
-from onyxspoke.core.admission.view_builder import AwaitedWork
+from onyxspoke.core.admission.slots import MAX_WAIT_SECONDS, RetrySlot, ServedSeconds
+from onyxspoke.core.admission.view_builder import ExpectedRetry
 from onyxspoke.core.jobs.model import JobId
 from onyxspoke.core.tenants.policy import TenantName
 
@@ -22,9 +22,9 @@
 MAXIMUM_REMEMBERED = 4_096
 HASH_BYTES = 8
 #: A job that comes back within so long after its second, in seconds, is on time.
-GRACE_SECONDS = 2.0
+LATE_TOLERANCE_SECONDS = 2.0
 #: Callers count whole seconds from an answer that was under way; so much earlier is on time, too.
-EARLY_SECONDS = 0.5
+EARLY_TOLERANCE_SECONDS = 0.5
 #: They are told whole seconds, and so may come so much later than would do.
 ROUNDING_SECONDS = 1.0
 
@@ -43,7 +43,7 @@
         From when on its outcome is of no use.
     refusals : int
         How many times in a row it was refused.
-    due_at : float
+    retry_at : float
         When it is to come back.
     slot : Slot or None
         What is kept for it; nothing once it is late.
@@ -53,14 +53,16 @@
     last_use_at: float
     is_owed: bool
     refusals: int
-    due_at: float
-    awaited: AwaitedWork
-    slot: Slot | None
+    retry_at: float
+    expected_retry: ExpectedRetry
+    slot: RetrySlot | None
 
     def is_on_time(self, now: float) -> bool:
         """Return whether a job that comes now comes when it was told to."""
         has_slot = self.slot is not None
-        return has_slot and -EARLY_SECONDS <= now - self.due_at <= GRACE_SECONDS
+        return (
+            has_slot and -EARLY_TOLERANCE_SECONDS <= now - self.retry_at <= LATE_TOLERANCE_SECONDS
+        )
 
 
 def hash_of(tenant: TenantName, job_id: JobId) -> JobHash:
@@ -72,7 +74,7 @@
 def longest_wait(job: HandIn, now: float) -> int:
     """Return for how many whole seconds a refused job may stay away and be of use when it comes."""
     seconds = job.last_use_at - now - job.chain_upper_seconds - ROUNDING_SECONDS
-    return int(min(max(0.0, seconds), LONGEST_WAIT_SECONDS))
+    return int(min(max(0.0, seconds), MAX_WAIT_SECONDS))
 
 
 class Returns:
@@ -96,7 +98,7 @@
         job: HandIn,
         work: float,
         wait_seconds: float,
-        most: float,
+        max_reserved_work: float,
         now: float,
         *,
         is_load_known: bool = True,
@@ -114,75 +116,81 @@
         is_load_known : bool
             Otherwise it is never told a second after its use for want of one with work left.
         """
-        former = self.forget(key)
+        previous = self.forget(key)
         if len(self._refused) >= MAXIMUM_REMEMBERED:
             self.forget(next(iter(self._refused)))
-        slot = self._keep_slot(job, work, wait_seconds, most, now, is_load_known)
-        wait = slot.wait if slot is not None else LONGEST_WAIT_SECONDS
+        slot = self._reserve_slot(job, work, wait_seconds, max_reserved_work, now, is_load_known)
+        retry_seconds = slot.retry_seconds if slot is not None else MAX_WAIT_SECONDS
         self._refused[key] = Refused(
             first_at=job.first_at,
             last_use_at=job.last_use_at,
             is_owed=not job.rank.is_beyond_share,
-            refusals=1 if former is None else former.refusals + 1,
-            due_at=now + wait,
-            awaited=_awaited(job, work, now + wait),
+            refusals=1 if previous is None else previous.refusals + 1,
+            retry_at=now + retry_seconds,
+            expected_retry=_expected_retry(job, work, now + retry_seconds),
             slot=slot,
         )
-        return wait
+        return retry_seconds
 
-    def _keep_slot(
+    def _reserve_slot(
         self,
         job: HandIn,
         work: float,
         wait_seconds: float,
-        most: float,
+        max_reserved_work: float,
         now: float,
         is_load_known: bool,
-    ) -> Slot | None:
+    ) -> RetrySlot | None:
         """Keep a second in which a job can still be of use, or else the first one after that.
 
         In between it would be refused once more; after it, its caller may begin anew.
         """
-        keep = self.seconds.keep_slot
-        slot = keep(job.service, work, wait_seconds, most, now, longest_wait(job, now))
+        reserve = self.seconds.keep_slot
+        slot = reserve(
+            job.service, work, wait_seconds, max_reserved_work, now, longest_wait(job, now)
+        )
         if slot is None and not is_load_known:
-            wait = max(1, math.ceil(wait_seconds))
-            slot = Slot(job.service, wait, int(now + wait), ())
+            retry_seconds = max(1, math.ceil(wait_seconds))
+            slot = RetrySlot(job.service, retry_seconds, int(now + retry_seconds), ())
         if slot is None:
-            past_use = max(wait_seconds, job.last_use_at - now)
-            slot = keep(job.service, work, past_use, most, now)
+            after_expiry_seconds = max(wait_seconds, job.last_use_at - now)
+            slot = reserve(job.service, work, after_expiry_seconds, max_reserved_work, now)
         return slot
 
     def forget(self, key: JobHash) -> Refused | None:
         """Drop what is remembered of a job, as once it was taken; return it."""
         refused = self._refused.pop(key, None)
         if refused is not None and refused.slot is not None:
-            self.seconds.give_back(refused.slot)
+            self.seconds.release(refused.slot)
         return refused
 
-    def awaited(self, now: float) -> Iterator[AwaitedWork]:
+    def awaited(self, now: float) -> Iterator[ExpectedRetry]:
         """Return the work of the jobs that may yet come back on time, and be of use.
 
         One that is told a second after its last use may never come, and is new if it does.
         """
         for refused in self._refused.values():
-            is_of_use = refused.due_at <= refused.last_use_at
-            if is_of_use and refused.slot is not None and now <= refused.due_at + GRACE_SECONDS:
-                yield refused.awaited
+            is_of_use = refused.retry_at <= refused.last_use_at
+            if (
+                is_of_use
+                and refused.slot is not None
+                and now <= refused.retry_at + LATE_TOLERANCE_SECONDS
+            ):
+                yield refused.expected_retry
 
     def keep(self, now: float) -> None:
         """Give back what was kept for jobs that did not come; forget what is of no more use."""
         for key, refused in list(self._refused.items()):
-            if now <= refused.due_at + GRACE_SECONDS:
+            if now <= refused.retry_at + LATE_TOLERANCE_SECONDS:
                 continue
             if now > refused.last_use_at:
                 self.forget(key)
             elif refused.slot is not None:
-                self.seconds.give_back(refused.slot)
+                self.seconds.release(refused.slot)
                 refused.slot = None
         self.seconds.forget_before(now)
 
 
-def _awaited(job: HandIn, work: float, due_at: float) -> AwaitedWork:
-    last_start_at = job.last_use_at - job.chain_median_seconds
-    return AwaitedWork(job.service, job.rank, work, due_at, last_start_at)
+def _expected_retry(job: HandIn, work: float, retry_at: float) -> ExpectedRetry:
+    latest_start_at = job.last_use_at - job.chain_median_seconds
+    return ExpectedRetry(job.service, job.rank, work, retry_at, latest_start_at)
--- a/src/onyxspoke/core/admission/room_curve.py
+++ b/src/onyxspoke/core/admission/room_curve.py
@@ -6,7 +6,7 @@
 from bisect import bisect_left
 
 #: Shares that were taken and given back sum up to so little less than they are.
-ROUNDING_SHARE = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 
 
 class RoomCurve:
@@ -22,33 +22,37 @@
         In how many seconds which share comes free.
     """
 
-    def __init__(self, free: float, ends: list[tuple[float, float]]) -> None:
+    def __init__(self, initial_free_share: float, releases: list[tuple[float, float]]) -> None:
         #: Where the share that is free changes: seconds from now, work done until then, and the
         #: share from then on.
-        self._seconds = [0.0]
-        self._done = [0.0]
-        self._free = [max(0.0, free)]
+        self._change_seconds = [0.0]
+        self._work_done = [0.0]
+        self._free_shares = [max(0.0, initial_free_share)]
         # More may be taken than there is, as after a quota was lowered.
-        left = free
-        for seconds, share in sorted(ends):
-            passed = seconds - self._seconds[-1]
-            if passed > 0.0:
-                self._seconds.append(seconds)
-                self._done.append(self._done[-1] + passed * self._free[-1])
-                self._free.append(self._free[-1])
-            left += share
-            self._free[-1] = max(0.0, left)
+        free_share = initial_free_share
+        for seconds, share in sorted(releases):
+            elapsed_seconds = seconds - self._change_seconds[-1]
+            if elapsed_seconds > 0.0:
+                self._change_seconds.append(seconds)
+                self._work_done.append(
+                    self._work_done[-1] + elapsed_seconds * self._free_shares[-1]
+                )
+                self._free_shares.append(self._free_shares[-1])
+            free_share += share
+            self._free_shares[-1] = max(0.0, free_share)
 
     def seconds_until(self, work: float) -> float:
         """Return in how many seconds so many share-seconds of work are through."""
         if work <= 0.0:
             return 0.0
-        at = max(0, bisect_left(self._done, work) - 1)
-        if self._free[at] <= 0.0:
+        index = max(0, bisect_left(self._work_done, work) - 1)
+        if self._free_shares[index] <= 0.0:
             return math.inf
-        return self._seconds[at] + (work - self._done[at]) / self._free[at]
+        return (
+            self._change_seconds[index] + (work - self._work_done[index]) / self._free_shares[index]
+        )
 
     def seconds_until_free(self, share: float) -> float:
         """Return in how many seconds so large a share is free at once."""
-        at = bisect_left(self._free, share - ROUNDING_SHARE)
-        return self._seconds[at] if at < len(self._free) else math.inf
+        index = bisect_left(self._free_shares, share - ROUNDING_TOLERANCE)
+        return self._change_seconds[index] if index < len(self._free_shares) else math.inf
--- a/src/onyxspoke/core/admission/slots.py
+++ b/src/onyxspoke/core/admission/slots.py
@@ -11,36 +11,36 @@
 #: some of each second.
 PATIENT_SHARE = 0.75
 #: Nobody is told to come back later than this, in seconds.
-LONGEST_WAIT_SECONDS = 120
+MAX_WAIT_SECONDS = 120
 
 
-class Slot(NamedTuple):
+class RetrySlot(NamedTuple):
     """A second at which a job is awaited, and the work that is kept for it by second.
 
-    ``wait`` is after how many whole seconds that was, when it was kept.
+    ``retry_seconds`` is after how many whole seconds that was, when it was kept.
     """
 
     service: str
-    wait: int
+    retry_seconds: int
     second: int
-    parts: tuple[tuple[int, float], ...]
+    reservations: tuple[tuple[int, float], ...]
 
 
 class ServedSeconds:
     """Work for which each second ahead is kept, by service."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, dict[int, float]] = {}
+        self._reserved: dict[str, dict[int, float]] = {}
 
     def keep_slot(
         self,
         service: str,
         work: float,
         wait_seconds: float,
-        most: float,
+        max_reserved_work: float,
         now: float,
-        last_seconds: float = LONGEST_WAIT_SECONDS,
-    ) -> Slot | None:
+        max_wait_seconds: float = MAX_WAIT_SECONDS,
+    ) -> RetrySlot | None:
         """Keep the first second with work left for a job; nothing if all up to the last are full.
 
         Parameters
@@ -51,55 +51,60 @@
             How long it waits at least.
         most : float
             Of each second, what may be kept in all once its part is, in share-seconds.
-        last_seconds : float
+        max_wait_seconds : float
             How long it waits at most.
         """
-        kept = self._kept.setdefault(service, {})
-        first = max(1, math.ceil(wait_seconds))
-        last = int(min(last_seconds, LONGEST_WAIT_SECONDS))
-        for wait in range(first, last + 1):
-            second = int(now + wait)
-            if kept.get(second, 0.0) < most:
-                return Slot(service, wait, second, _take(kept, second, work, most))
+        reserved = self._reserved.setdefault(service, {})
+        first_wait = max(1, math.ceil(wait_seconds))
+        last_wait = int(min(max_wait_seconds, MAX_WAIT_SECONDS))
+        for retry_seconds in range(first_wait, last_wait + 1):
+            second = int(now + retry_seconds)
+            if reserved.get(second, 0.0) < max_reserved_work:
+                return RetrySlot(
+                    service,
+                    retry_seconds,
+                    second,
+                    _reserve(reserved, second, work, max_reserved_work),
+                )
         return None
 
-    def give_back(self, slot: Slot) -> None:
+    def release(self, slot: RetrySlot) -> None:
         """Free what was kept."""
-        kept = self._kept.get(slot.service, {})
-        for second, work in slot.parts:
-            left = kept.get(second, 0.0) - work
-            if left > 0.0:
-                kept[second] = left
+        reserved = self._reserved.get(slot.service, {})
+        for second, work in slot.reservations:
+            remaining_work = reserved.get(second, 0.0) - work
+            if remaining_work > 0.0:
+                reserved[second] = remaining_work
             else:
-                kept.pop(second, None)
+                reserved.pop(second, None)
 
     def kept_work(self, service: str, now: float) -> float:
         """Return the work for which seconds ahead are kept, in share-seconds."""
-        kept = self._kept.get(service, {})
-        return sum(work for second, work in kept.items() if second > now)
+        reserved = self._reserved.get(service, {})
+        return sum(work for second, work in reserved.items() if second > now)
 
     def kept_in(self, service: str, second: int) -> float:
         """Return the work for which a second is kept, in share-seconds."""
-        return self._kept.get(service, {}).get(second, 0.0)
+        return self._reserved.get(service, {}).get(second, 0.0)
 
     def forget_before(self, now: float) -> None:
         """Drop seconds that are over."""
-        for kept in self._kept.values():
-            for second in [second for second in kept if second < int(now)]:
-                del kept[second]
+        for reserved in self._reserved.values():
+            for second in [second for second in reserved if second < int(now)]:
+                del reserved[second]
 
 
-def _take(
-    kept: dict[int, float], second: int, work: float, most: float
+def _reserve(
+    reserved: dict[int, float], second: int, work: float, max_reserved_work: float
 ) -> tuple[tuple[int, float], ...]:
     """Keep seconds from one on for so much work, as much of each as is left."""
-    parts = []
-    last = second + LONGEST_WAIT_SECONDS
-    while work > 0.0 and second <= last:
-        amount = min(work, most - kept.get(second, 0.0))
+    reservations = []
+    last_second = second + MAX_WAIT_SECONDS
+    while work > 0.0 and second <= last_second:
+        amount = min(work, max_reserved_work - reserved.get(second, 0.0))
         if amount > 0.0:
-            kept[second] = kept.get(second, 0.0) + amount
-            parts.append((second, amount))
+            reserved[second] = reserved.get(second, 0.0) + amount
+            reservations.append((second, amount))
             work -= amount
         second += 1
-    return tuple(parts)
+    return tuple(reservations)
--- a/src/onyxspoke/core/admission/verdict.py
+++ b/src/onyxspoke/core/admission/verdict.py
@@ -43,36 +43,36 @@
 
     Attributes
     ----------
-    ahead_seconds, ahead_upper_seconds : float
+    start_delay_seconds, start_delay_upper_seconds : float
         Until what goes first has begun, at best and at worst.
     advice_seconds : float
         Until the line for advice has served what goes first.
     work_median_seconds, work_upper_seconds : float
         The job's longest chain of steps: the median, and an upper quantile.
-    patience_seconds : float
+    seconds_to_expiry : float
         From now until the last moment at which the outcome is of use.
-    view_age_seconds : float
+    load_view_age_seconds : float
         How long ago what waits was looked at.
     """
 
-    ahead_seconds: float
+    start_delay_seconds: float
     advice_seconds: float
     work_median_seconds: float
     work_upper_seconds: float
-    patience_seconds: float
-    view_age_seconds: float
-    ahead_upper_seconds: float = 0.0
+    seconds_to_expiry: float
+    load_view_age_seconds: float
+    start_delay_upper_seconds: float = 0.0
 
     def as_fields(self) -> dict[str, float]:
         """Return them as they are logged."""
         return {
-            "ahead_s": round(self.ahead_seconds, _DIGITS),
-            "ahead_upper_s": round(self.ahead_upper_seconds, _DIGITS),
+            "ahead_s": round(self.start_delay_seconds, _DIGITS),
+            "ahead_upper_s": round(self.start_delay_upper_seconds, _DIGITS),
             "advice_s": round(self.advice_seconds, _DIGITS),
             "work_s": round(self.work_median_seconds, _DIGITS),
             "work_upper_s": round(self.work_upper_seconds, _DIGITS),
-            "patience_s": round(self.patience_seconds, _DIGITS),
-            "view_age_s": round(self.view_age_seconds, _DIGITS),
+            "patience_s": round(self.seconds_to_expiry, _DIGITS),
+            "view_age_s": round(self.load_view_age_seconds, _DIGITS),
         }
 
 
--- a/src/onyxspoke/core/admission/view_builder.py
+++ b/src/onyxspoke/core/admission/view_builder.py
@@ -7,12 +7,12 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from onyxspoke.core.admission.arrivals import ArrivalMeter, RankClass, class_of
-from onyxspoke.core.admission.hand_in import low_seconds
-from onyxspoke.core.admission.lane import Lane, RoomHeld, share_of
-from onyxspoke.core.admission.load_view import FreeRoom, LoadView
+from onyxspoke.core.admission.arrivals import ArrivalMeter, RankClass, rank_class_of
+from onyxspoke.core.admission.hand_in import min_task_seconds
+from onyxspoke.core.admission.lane import HeldCapacity, Lane, dominant_share
+from onyxspoke.core.admission.load_view import FreeCapacity, LoadView
 from onyxspoke.core.admission.promises import LateWork
-from onyxspoke.core.admission.waiting_line import HORIZONS, WaitingWork
+from onyxspoke.core.admission.waiting_line import HORIZONS_SECONDS, WaitingWork
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.estimates.expected import Expected
 from onyxspoke.core.jobs.amounts import plus
@@ -35,20 +35,20 @@
 
 _FULL_PERCENT = 100
 
-Expect = Callable[[str, str, int], Expected]
+ExpectedDuration = Callable[[str, str, int], Expected]
 
 
-class AwaitedWork(NamedTuple):
+class ExpectedRetry(NamedTuple):
     """Work of a refused job that was told when to come back.
 
-    ``due_at`` is then, and ``last_start_at`` until when it may wait, in the holder's seconds.
+    ``due_at`` is then, and ``latest_start_at`` until when it may wait, in the holder's seconds.
     """
 
     service: str
     rank: StepRank
     share_seconds: float
-    due_at: float
-    last_start_at: float
+    retry_at: float
+    latest_start_at: float
 
 
 class Load(NamedTuple):
@@ -60,7 +60,7 @@
         How long a run takes to give way.
     arrivals : ArrivalMeter
         What is taken in lately.
-    awaited : iterable of AwaitedWork
+    awaited : iterable of ExpectedRetry
         Of refused jobs that are to come back.
     """
 
@@ -70,10 +70,10 @@
     durations: Durations
     stop_seconds: float
     arrivals: ArrivalMeter
-    awaited: Iterable[AwaitedWork] = ()
+    awaited: Iterable[ExpectedRetry] = ()
 
 
-class _Waiting(NamedTuple):
+class _WaitingStep(NamedTuple):
     """A step that waits: seconds of work of each task, and of waiting that it can bear."""
 
     rank: StepRank
@@ -86,130 +86,138 @@
 
 def build_view(load: Load, now: float) -> LoadView:
     """Return the load as it is now."""
-    builder = _Builder(load, now)
+    builder = _LoadViewBuilder(load, now)
     return builder.build()
 
 
-class _Builder:
+class _LoadViewBuilder:
     def __init__(self, load: Load, now: float) -> None:
         self._load = load
         self._now = now
-        self._expect = _remember(load.durations)
-        self._by_service: dict[str, list[_Waiting]] = {}
-        self._by_tenant: dict[TenantName, list[_Waiting]] = {}
+        self._expect = _cache_expected(load.durations)
+        self._by_service: dict[str, list[_WaitingStep]] = {}
+        self._by_tenant: dict[TenantName, list[_WaitingStep]] = {}
         self._quotas = {
             name: tenant.quota for name, tenant in load.policy.tenants.items() if any(tenant.quota)
         }
 
     def build(self) -> LoadView:
         for step in self._load.steps:
-            self._take_step(step)
+            self._add_step(step)
         held = [run for worker in self._load.table.workers.values() for run in worker.runs.values()]
-        tenant_lanes = self._make_tenant_lanes(held)
-        lanes, free = self._make_lanes()
-        return LoadView(self._now, lanes, self._quotas, tenant_lanes, free)
+        quota_pools = self._make_quota_pools(held)
+        lanes, free_capacity = self._make_pools()
+        return LoadView(self._now, lanes, self._quotas, quota_pools, free_capacity)
 
     # What waits
 
-    def _take_step(self, step: StepProgress) -> None:
+    def _add_step(self, step: StepProgress) -> None:
         if step.spec.long_running:
             return
         spec = step.job.spec
         queue = self._load.policy.queue_of(spec)
         expected = self._expect(spec.queue.name, spec.tenant, step.spec.estimated_ms)
-        placed_rank = step_rank_of(step, queue, self._now)
-        rank = promised_rank(placed_rank)
+        placement_rank = step_rank_of(step, queue, self._now)
+        rank = rank_ignoring_lateness(placement_rank)
         needs = step.needs
-        slack = math.inf
-        if placed_rank.lateness is Lateness.LATE:
+        slack_seconds = math.inf
+        if placement_rank.lateness is Lateness.LATE:
             last_use_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
-            slack = last_use_at - step.expected_chain_seconds - self._now
-        low, high = low_seconds(expected), max(0.0, expected.upper_seconds)
-        waiting = _Waiting(rank, needs, len(step.waiting), low, high, slack)
+            slack_seconds = last_use_at - step.expected_chain_seconds - self._now
+        low_seconds, high_seconds = min_task_seconds(expected), max(0.0, expected.upper_seconds)
+        waiting_step = _WaitingStep(
+            rank, needs, len(step.waiting), low_seconds, high_seconds, slack_seconds
+        )
         if spec.tenant in self._quotas:
-            self._by_tenant.setdefault(spec.tenant, []).append(waiting)
+            self._by_tenant.setdefault(spec.tenant, []).append(waiting_step)
         if step.over_quota_since is not None:
             # It takes none of the workers' room before its tenant has some of its quota free.
-            waiting = waiting._replace(low_seconds=0.0)
-        self._by_service.setdefault(queue.service, []).append(waiting)
+            waiting_step = waiting_step._replace(low_seconds=0.0)
+        self._by_service.setdefault(queue.service, []).append(waiting_step)
 
     # Lanes
 
-    def _make_lanes(self) -> tuple[dict[str, Lane], dict[str, list[FreeRoom]]]:
+    def _make_pools(self) -> tuple[dict[str, Lane], dict[str, list[FreeCapacity]]]:
         by_service: dict[str, list[Worker]] = {}
         for worker in self._load.table.workers.values():
             if worker.contact is not WorkerContact.OVER and worker.listing is WorkerListing.READY:
                 by_service.setdefault(worker.record.service, []).append(worker)
         lanes = {}
-        free = {}
+        free_capacity = {}
         for service, workers in by_service.items():
-            lane = self._make_lane(service, workers)
+            lane = self._make_pool(service, workers)
             if lane is not None:
                 lanes[service] = lane
-                free[service] = self._free_room(service)
-        return lanes, free
+                free_capacity[service] = self._free_capacity_of(service)
+        return lanes, free_capacity
 
-    def _make_lane(self, service: str, workers: list[Worker]) -> Lane | None:
-        in_use = [worker for worker in workers if worker.contact is WorkerContact.SETTLED]
-        total = _sum_capacity(in_use)
+    def _make_pool(self, service: str, workers: list[Worker]) -> Lane | None:
+        settled = [worker for worker in workers if worker.contact is WorkerContact.SETTLED]
+        total = _sum_capacity(settled)
         if not any(total):
             return None
-        works, late = _line_work(self._by_service.get(service, []), total)
-        for awaited in self._load.awaited:
-            if awaited.service == service:
-                works.append(_awaited_work(awaited))
-                late.setdefault(class_of(awaited.rank), []).append(self._late(awaited))
-        others = [worker for worker in workers if worker.contact is not WorkerContact.SETTLED]
+        works, late_work = _waiting_work(self._by_service.get(service, []), total)
+        for expected_retry in self._load.awaited:
+            if expected_retry.service == service:
+                works.append(_retry_work(expected_retry))
+                late_work.setdefault(rank_class_of(expected_retry.rank), []).append(
+                    self._late_work_of(expected_retry)
+                )
+        unsettled = [worker for worker in workers if worker.contact is not WorkerContact.SETTLED]
         return Lane(
             total=total,
             works=sorted(works, key=itemgetter(0)),
-            held=self._held_on(in_use, total),
-            spare_factor=max(1.0, share_of(_sum_capacity(workers), total)),
-            held_of_spare=self._held_on(others, total),
+            held=self._held_on(settled, total),
+            best_case_capacity_factor=max(1.0, dominant_share(_sum_capacity(workers), total)),
+            held_on_unsettled=self._held_on(unsettled, total),
             stop_seconds=self._load.stop_seconds,
-            late=late,
-            coming=self._load.arrivals.rates(service, self._now),
+            late_work=late_work,
+            arrival_rates=self._load.arrivals.rates(service, self._now),
         )
 
-    def _late(self, awaited: AwaitedWork) -> LateWork:
+    def _late_work_of(self, expected_retry: ExpectedRetry) -> LateWork:
         return LateWork(
-            slack_seconds=awaited.last_start_at - self._now,
-            work=awaited.share_seconds,
-            begins_in_seconds=awaited.due_at - self._now,
+            slack_seconds=expected_retry.latest_start_at - self._now,
+            work=expected_retry.share_seconds,
+            earliest_start_seconds=expected_retry.retry_at - self._now,
         )
 
-    def _free_room(self, service: str) -> list[FreeRoom]:
-        free = []
+    def _free_capacity_of(self, service: str) -> list[FreeCapacity]:
+        free_capacity = []
         for worker in self._load.table.offered(service):
-            room = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
-            if room.processors_milli > 0 or not worker.record.capacity.processors_milli:
-                free.append(FreeRoom(room, worker.record.labels))
-        free.sort(key=lambda worker: -worker.room.processors_milli)
-        return free
-
-    def _make_tenant_lanes(self, runs: list[Run]) -> dict[TenantName, Lane]:
-        held: dict[TenantName, list[RoomHeld]] = {}
+            resources = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
+            if resources.processors_milli > 0 or not worker.record.capacity.processors_milli:
+                free_capacity.append(FreeCapacity(resources, worker.record.labels))
+        free_capacity.sort(key=lambda worker: -worker.resources.processors_milli)
+        return free_capacity
+
+    def _make_quota_pools(self, runs: list[Run]) -> dict[TenantName, Lane]:
+        held: dict[TenantName, list[HeldCapacity]] = {}
         for run in runs:
             tenant = run.task.step.job.spec.tenant
             if tenant in self._quotas:
-                held.setdefault(tenant, []).append(self._held(run, self._quotas[tenant]))
+                held.setdefault(tenant, []).append(self._held_capacity(run, self._quotas[tenant]))
         lanes = {}
         for tenant, quota in self._quotas.items():
-            works, _late = _line_work(self._by_tenant.get(tenant, []), quota)
+            works, _unused = _waiting_work(self._by_tenant.get(tenant, []), quota)
             lanes[tenant] = Lane(quota, sorted(works, key=itemgetter(0)), held.get(tenant, []))
         return lanes
 
-    def _held_on(self, workers: list[Worker], total: Needs) -> list[RoomHeld]:
-        return [self._held(run, total) for worker in workers for run in worker.runs.values()]
+    def _held_on(self, workers: list[Worker], total: Needs) -> list[HeldCapacity]:
+        return [
+            self._held_capacity(run, total) for worker in workers for run in worker.runs.values()
+        ]
 
-    def _held(self, run: Run, total: Needs) -> RoomHeld:
+    def _held_capacity(self, run: Run, total: Needs) -> HeldCapacity:
         spec = run.task.step.spec
         queue = self._load.policy.queue_of(run.task.step.job.spec)
         seconds = self._seconds_left(run)
-        may_give_way = (
+        is_preemptible = (
             spec.checkpointing and run.gang is None and not spec.long_running and not spec.fills
         )
-        return RoomHeld(seconds, share_of(run.needs, total), queue.priority, may_give_way)
+        return HeldCapacity(
+            seconds, dominant_share(run.needs, total), queue.priority, is_preemptible
+        )
 
     def _seconds_left(self, run: Run) -> float:
         """Return how long a run holds its room.
@@ -222,15 +230,17 @@
         if run.is_resumed or spec.long_running:
             return remaining_seconds(run, self._now)
         job = run.task.step.job.spec
-        whole = self._expect(job.queue.name, job.tenant, spec.estimated_ms).median_seconds
+        duration_seconds = self._expect(
+            job.queue.name, job.tenant, spec.estimated_ms
+        ).median_seconds
         if not run.confirmed_at:
-            return whole
+            return duration_seconds
         if run.percent >= TELLING_PERCENT:
-            whole = (run.moved_at - run.confirmed_at) / run.percent * _FULL_PERCENT
-        return max(0.0, whole - (self._now - run.confirmed_at))
+            duration_seconds = (run.moved_at - run.confirmed_at) / run.percent * _FULL_PERCENT
+        return max(0.0, duration_seconds - (self._now - run.confirmed_at))
 
 
-def promised_rank(rank: StepRank) -> StepRank:
+def rank_ignoring_lateness(rank: StepRank) -> StepRank:
     """Return the place of what was promised: what is late, and still of use, does not fall back.
 
     In the order of placement it does; then every job that is taken would push it further, until
@@ -248,38 +258,38 @@
     return rank
 
 
-def _awaited_work(awaited: AwaitedWork) -> WaitingWork:
+def _retry_work(expected_retry: ExpectedRetry) -> WaitingWork:
     """Return the work of a job that may not come: at least none, at most all of it."""
-    return WaitingWork(awaited.rank, awaited.share_seconds, 0.0, 1.0)
+    return WaitingWork(expected_retry.rank, expected_retry.share_seconds, 0.0, 1.0)
 
 
-def _line_work(
-    steps: list[_Waiting], total: Needs
+def _waiting_work(
+    steps: list[_WaitingStep], total: Needs
 ) -> tuple[list[WaitingWork], dict[RankClass, list[LateWork]]]:
     """Return what waits as shares of what there is, and what of it is late."""
     works = []
-    late: dict[RankClass, list[LateWork]] = {}
+    late_work: dict[RankClass, list[LateWork]] = {}
     shares: dict[Needs, float] = {}
-    for rank, needs, tasks, low, high, slack in steps:
+    for rank, needs, tasks, low_seconds, high_seconds, slack_seconds in steps:
         share = shares.get(needs)
         if share is None:
-            share = shares[needs] = share_of(needs, total)
-        works.append(WaitingWork(rank, share * tasks, low, high))
-        if slack < math.inf:
-            work = share * tasks * min(low, HORIZONS[-1])
-            late.setdefault(class_of(rank), []).append(LateWork(slack, work))
-    return works, late
+            share = shares[needs] = dominant_share(needs, total)
+        works.append(WaitingWork(rank, share * tasks, low_seconds, high_seconds))
+        if slack_seconds < math.inf:
+            work = share * tasks * min(low_seconds, HORIZONS_SECONDS[-1])
+            late_work.setdefault(rank_class_of(rank), []).append(LateWork(slack_seconds, work))
+    return works, late_work
 
 
-def _remember(durations: Durations) -> Expect:
+def _cache_expected(durations: Durations) -> ExpectedDuration:
     """Return what expects how long tasks take, and asks once about those that are alike."""
-    known: dict[tuple[str, str, int], Expected] = {}
+    cache: dict[tuple[str, str, int], Expected] = {}
 
     def expect(queue: str, tenant: str, estimated_ms: int) -> Expected:
         key = (queue, tenant, estimated_ms)
-        expected = known.get(key)
+        expected = cache.get(key)
         if expected is None:
-            expected = known[key] = durations.expected(queue, tenant, estimated_ms)
+            expected = cache[key] = durations.expected(queue, tenant, estimated_ms)
         return expected
 
     return expect
--- a/src/onyxspoke/core/admission/waiting_line.py
+++ b/src/onyxspoke/core/admission/waiting_line.py
@@ -9,7 +9,7 @@
 
 #: How far decisions look ahead, in seconds: each by the first that covers what its caller waits.  A
 #: task that works for longer holds its room for so long before what comes after it.
-HORIZONS = (2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0)
+HORIZONS_SECONDS = (2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0)
 
 
 class WaitingWork(NamedTuple):
@@ -29,7 +29,7 @@
     high_seconds: float
 
 
-class WorkAhead(NamedTuple):
+class WorkEstimate(NamedTuple):
     """Work that goes before a place, in share-seconds, and the mean length of its tasks."""
 
     low: float
@@ -37,9 +37,9 @@
     task_seconds: float
 
 
-def horizon_of(seconds: float) -> float:
+def horizon_for(seconds: float) -> float:
     """Return how far a decision looks ahead whose caller waits for so long."""
-    return HORIZONS[min(bisect_left(HORIZONS, seconds), len(HORIZONS) - 1)]
+    return HORIZONS_SECONDS[min(bisect_left(HORIZONS_SECONDS, seconds), len(HORIZONS_SECONDS) - 1)]
 
 
 class WaitingLine:
@@ -54,23 +54,23 @@
     """
 
     def __init__(self, works: list[WaitingWork], horizon: float) -> None:
-        self._sorted = _Sums(works, horizon)
-        self._added = _Sums([], horizon)
+        self._sorted = _PrefixSums(works, horizon)
+        self._added = _PrefixSums([], horizon)
 
     def add(self, work: WaitingWork) -> None:
         """Count work that was taken in since."""
         self._added.insert(work)
 
-    def ahead_of(self, rank: StepRank) -> WorkAhead:
+    def work_before(self, rank: StepRank) -> WorkEstimate:
         """Return what goes before a place."""
-        low, high, weighted = self._sorted.before(rank)
-        more_low, more_high, more_weighted = self._added.before(rank)
+        low, high, weighted = self._sorted.sums_before(rank)
+        more_low, more_high, more_weighted = self._added.sums_before(rank)
         low += more_low
         mean = (weighted + more_weighted) / low if low > 0.0 else 0.0
-        return WorkAhead(low, high + more_high, mean)
+        return WorkEstimate(low, high + more_high, mean)
 
 
-class _Sums:
+class _PrefixSums:
     """Work in order, with sums from its beginning: at least, at most, and weighted by length."""
 
     def __init__(self, works: list[WaitingWork], horizon: float) -> None:
@@ -82,22 +82,22 @@
 
     def insert(self, work: WaitingWork) -> None:
         """Take in more work; most goes to the end."""
-        at = bisect_right(self._ranks, work.rank)
-        self._ranks.insert(at, work.rank)
-        self._works.insert(at, work)
-        del self._sums[at + 1 :]
-        self._sum_from(at)
+        index = bisect_right(self._ranks, work.rank)
+        self._ranks.insert(index, work.rank)
+        self._works.insert(index, work)
+        del self._sums[index + 1 :]
+        self._sum_from(index)
 
-    def before(self, rank: StepRank) -> tuple[float, float, float]:
+    def sums_before(self, rank: StepRank) -> tuple[float, float, float]:
         """Return the sums of what goes before a place."""
         return self._sums[bisect_left(self._ranks, rank)]
 
-    def _sum_from(self, at: int) -> None:
-        low, high, weighted = self._sums[at]
+    def _sum_from(self, index: int) -> None:
+        low, high, weighted = self._sums[index]
         horizon = self._horizon
-        for _rank, share, low_seconds, high_seconds in self._works[at:]:
-            least = min(low_seconds, horizon)
-            low += share * least
+        for _rank, share, low_seconds, high_seconds in self._works[index:]:
+            least_seconds = min(low_seconds, horizon)
+            low += share * least_seconds
             high += share * min(high_seconds, horizon)
-            weighted += share * least * least
+            weighted += share * least_seconds * least_seconds
             self._sums.append((low, high, weighted))
