--- a/features/steps/admission_rule_steps.py
+++ b/features/steps/admission_rule_steps.py
@@ -347,12 +347,12 @@
 @given("{count:d} refused jobs of which none comes back")
 def _refused(context: Any, count: int) -> None:
     _many_refused(context, count)
-    context.last_use_at = max(item.last_use_at for item in context.returns._refused.values())
+    context.last_use_at = max(item.last_use_at for item in context.returns._jobs.values())
 
 
 @when("their last use and their seconds are over")
 def _no_use(context: Any) -> None:
-    due_at = max(item.retry_at for item in context.returns._refused.values())
+    due_at = max(item.retry_at for item in context.returns._jobs.values())
     context.returns.keep(max(context.last_use_at, due_at) + 10.0)
 
 
--- a/src/onyxspoke/core/admission/__init__.py
+++ b/src/onyxspoke/core/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a job that is handed in is taken, or refused at once with when to come back."""
+"""Admission control: admits a submitted job, or refuses it with the time after which to retry."""
--- a/src/onyxspoke/core/admission/arrivals.py
+++ b/src/onyxspoke/core/admission/arrivals.py
@@ -1,4 +1,7 @@
-"""How much work is taken in lately, by class: what comes later and goes first delays what waits."""
+"""Rates of recently admitted work by rank class.
+
+Work that arrives later but ranks first delays the work that already waits.
+"""
 
 from __future__ import annotations
 
@@ -8,31 +11,34 @@
 
 from onyxspoke.core.placement.queue_order import StepRank
 
-#: What came in longer ago than some of these, in seconds, counts for little.
+#: Time constant of the exponential decay, in seconds.
 SPAN_SECONDS = 4.0
-#: A rate is of so many seconds at least, so that a few jobs at once make none.
+#: Minimum observation time, in seconds, so that a few simultaneous jobs don't give a high rate.
 MIN_OBSERVED_SECONDS = 1.0
-#: Work that goes first is never taken to fill more of the room, so that what waits moves on.
+#: Upper bound of the share of the capacity that arrivals take, so that every delay stays finite.
 MAX_ARRIVAL_SHARE = 0.95
-#: In the best case, so much of what came in lately goes on coming.
+#: Share of the recent arrival rate that is assumed to continue in the best case.
 BEST_CASE_ARRIVAL_SHARE = 0.5
 
 
 class RankClass(NamedTuple):
-    """What decides first who goes first."""
+    """The parts of a rank that are compared first, apart from expiry.
+
+    A job within its tenant's share ranks before one over it; then the queue's priority counts.
+    """
 
     is_over_share: bool
     priority: int
 
 
 def rank_class_of(rank: StepRank) -> RankClass:
-    """Return the class of a place in the line."""
+    """Return the class of a rank."""
     return RankClass(rank.is_beyond_share, rank.priority)
 
 
 @dataclass(slots=True)
 class _DecayedSum:
-    """Work whose share of what counts falls with its age."""
+    """A sum of admitted work in which each amount decays exponentially with its age."""
 
     started_at: float
     updated_at: float
@@ -45,7 +51,10 @@
         self.updated_at = now
 
     def rate(self, now: float) -> float:
-        """Return the rate over the span, or since the first work where that is less."""
+        """Return the arrival rate in share-seconds per second.
+
+        The sum is corrected for the time before ``started_at``, in which nothing was observed.
+        """
         observed_seconds = max(MIN_OBSERVED_SECONDS, now - self.started_at)
         return (
             self.work_share_seconds
@@ -55,27 +64,30 @@
 
 
 class ArrivalMeter:
-    """Work taken in lately at each service, by class, in share-seconds a second."""
+    """Measures the rate at which work is admitted at each service, by rank class.
+
+    Rates are in share-seconds per second: 1.0 uses the whole capacity of the service.
+    """
 
     def __init__(self) -> None:
         self._work_by_service: dict[str, dict[RankClass, _DecayedSum]] = {}
 
     def note(self, service: str, rank: StepRank, work_share_seconds: float, now: float) -> None:
-        """A job was taken in."""
+        """Record the work of an admitted job, in share-seconds."""
         work_by_class = self._work_by_service.setdefault(service, {})
         work_by_class.setdefault(rank_class_of(rank), _DecayedSum(now, now)).add(
             work_share_seconds, now
         )
 
     def rates(self, service: str, now: float) -> dict[RankClass, float]:
-        """Return the present rates."""
+        """Return the current arrival rate of each rank class, in share-seconds per second."""
         return {
             rank: total.rate(now) for rank, total in self._work_by_service.get(service, {}).items()
         }
 
 
 def delayed_by_arrivals(seconds: float, arrival_rate: float) -> float:
-    """Return how long a wait takes while work that goes first keeps coming at a rate."""
+    """Return a delay in seconds, extended by arrivals that rank first and take capacity."""
     return seconds / (1.0 - min(MAX_ARRIVAL_SHARE, arrival_rate))
 
 
--- a/src/onyxspoke/core/admission/board.py
+++ b/src/onyxspoke/core/admission/board.py
@@ -1,7 +1,8 @@
-"""What an entry knows of the queues that are closed, by what the shards' holders told it.
+"""An entry's cache of the queue closures that the shards' holders reported.
 
-It serves calls that reach no holder and were sent to none: refused early where the holder's last
-word is fresh enough, and with a better second to come back.  Whoever reaches the holder asks it.
+The cache serves calls that cannot reach the holder and were sent to no holder: a fresh summary
+allows an early refusal, and any summary improves the retry time.  An entry that reaches the holder
+asks the holder instead.
 """
 
 from __future__ import annotations
@@ -16,15 +17,19 @@
 from onyxspoke.core.shard.log_records import ShardId
 from onyxspoke.core.tenants.policy import TenantName
 
-#: No caller is told by a summary to stay away for longer.
+#: Longest closure, in seconds, that is taken from a summary.
 LONGEST_CLOSED_SECONDS = 30.0
-#: Callers are told whole seconds, so that less than this spreads nobody.
+#: Minimum interval over which retries are spread; retry times are in whole seconds.
 MIN_SPREAD_SECONDS = 1.0
 _HASH_COUNT = 1 << 32
 
 
 class ClosedQueue(NamedTuple):
-    """A queue that is closed for some tenants, or all, for so much longer; told so long ago."""
+    """A queue that a holder reported as closed.
+
+    ``tenants`` is empty if the queue is closed for all; ``seconds`` is the rest of the closure, and
+    ``age_seconds`` is the age of the holder's summary.
+    """
 
     queue: str
     tenants: tuple[TenantName, ...]
@@ -34,55 +39,55 @@
 
 @dataclass(slots=True)
 class _CachedSummary:
-    """The newest summary of a shard, and when it was made by our clock."""
+    """The newest summary of a shard, and the time on the entry's clock at which it was made."""
 
     summary: AdmissionSummary
     made_at: float
 
 
 class AdmissionBoard:
-    """The newest summary of each shard.
+    """Caches the newest admission summary of each shard.
 
     Parameters
     ----------
-    trust_seconds : float
-        An older summary refuses nothing.
+    max_age_seconds : float
+        An older summary refuses no job.
     """
 
-    def __init__(self, trust_seconds: float) -> None:
-        self._max_age_seconds = trust_seconds
-        self._cached: dict[ShardId, _CachedSummary] = {}
-        #: The highest token of a holder of each shard that is known.
+    def __init__(self, max_age_seconds: float) -> None:
+        self._max_age_seconds = max_age_seconds
+        self._summaries: dict[ShardId, _CachedSummary] = {}
+        #: The highest known fencing token of each shard's holders.
         self._newest_tokens: dict[ShardId, int] = {}
 
     def note_holder(self, shard: ShardId, token: int) -> None:
-        """Take note of a holder: what the holders before it told counts no more."""
+        """Record a shard's holder, and drop the summary of any previous holder."""
         if token <= self._newest_tokens.get(shard, -1):
             return
         self._newest_tokens[shard] = token
-        cached = self._cached.get(shard)
+        cached = self._summaries.get(shard)
         if cached is not None and cached.summary.token < token:
-            del self._cached[shard]
+            del self._summaries[shard]
 
     def take(self, shard: ShardId, summary: AdmissionSummary, now: float) -> None:
-        """Take a summary in, unless it is a former holder's or older than the one that is known."""
+        """Store a summary, unless it is older than the cached one or from a previous holder."""
         age_seconds = summary.age_seconds
         if summary.token < self._newest_tokens.get(shard, -1) or not 0.0 <= age_seconds < math.inf:
             return
         self.note_holder(shard, summary.token)
         made_at = now - age_seconds
-        previous = self._cached.get(shard)
+        previous = self._summaries.get(shard)
         if previous is None or made_at >= previous.made_at:
-            self._cached[shard] = _CachedSummary(summary, made_at)
+            self._summaries[shard] = _CachedSummary(summary, made_at)
 
     def decide(
         self, shard: ShardId, queue: str, tenant: TenantName, job_id: JobId, now: float
     ) -> float | None:
-        """Return after how many seconds a job's caller is to come back; None if it is not refused.
+        """Return after how many seconds the caller should retry, or None if the job is not refused.
 
-        Only for a job that was sent to no holder.
+        Call this only for a job that was sent to no holder.
         """
-        cached = self._cached.get(shard)
+        cached = self._summaries.get(shard)
         if cached is None or now - cached.made_at >= self._max_age_seconds:
             return None
         return self._spread_retry_seconds(cached, queue, tenant, job_id, now)
@@ -96,11 +101,11 @@
         now: float,
         default: float,
     ) -> float:
-        """Return after how many seconds the caller of a job that is refused anyway is to come back.
+        """Return after how many seconds the caller of a job that is refused anyway should retry.
 
-        Also an old summary tells until when its queue would be closed.
+        A summary of any age is used, because it gives the time at which the queue may reopen.
         """
-        cached = self._cached.get(shard)
+        cached = self._summaries.get(shard)
         seconds = (
             None
             if cached is None
@@ -109,8 +114,8 @@
         return default if seconds is None else max(default, seconds)
 
     def closed_queues(self, shard: ShardId, now: float) -> list[ClosedQueue]:
-        """Return the queues of a shard that are closed by its holder's word, however old."""
-        cached = self._cached.get(shard)
+        """Return the closed queues of a shard by its cached summary, whatever the summary's age."""
+        cached = self._summaries.get(shard)
         if cached is None:
             return []
         age_seconds = now - cached.made_at
@@ -126,16 +131,17 @@
         ]
 
     def age_seconds(self, shard: ShardId, now: float) -> float | None:
-        """Return how old the summary of a shard is, if there is one."""
-        cached = self._cached.get(shard)
+        """Return the age of a shard's cached summary in seconds, or None if there is none."""
+        cached = self._summaries.get(shard)
         return None if cached is None else now - cached.made_at
 
     def _spread_retry_seconds(
         self, cached: _CachedSummary, queue: str, tenant: TenantName, job_id: JobId, now: float
     ) -> float | None:
-        """Return the rest of the closed time and a part of as much again, by the job's hash.
+        """Return the retry time for a closed queue, or None if the queue is open.
 
-        Entries that go by one summary would otherwise all name the same second.
+        The retry time is the rest of the closure, extended by up to its own length.  The extension
+        depends on a hash of the job, so that callers don't all retry in the same second.
         """
         closed_seconds = [
             notice.closed_seconds
--- a/src/onyxspoke/core/admission/closings.py
+++ b/src/onyxspoke/core/admission/closings.py
@@ -1,4 +1,4 @@
-"""Which queues are closed, for how much longer, and for which tenants."""
+"""The queues that are closed at a holder, for how long, and for which tenants."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 from onyxspoke.core.admission.summary import QueueNotice
 from onyxspoke.core.tenants.policy import TenantName
 
-#: Tenants that a notice names at most.
+#: Maximum number of tenants in a notice.
 MAX_NOTICE_TENANTS = 20
-#: No queue is told to be closed for longer at once, in seconds.
+#: Maximum length of a closure after one refusal, in seconds.
 MAX_CLOSURE_SECONDS = 30.0
-#: A queue counts as open again when nothing was refused for so long, in seconds.
+#: A queue counts as reopened after this many seconds without a refusal.
 REOPEN_DELAY_SECONDS = 1.0
 
 
 class Scope(NamedTuple):
-    """What is closed: a queue, for one tenant's jobs beyond its share, or for everybody's."""
+    """The jobs that a closure refuses.
+
+    An empty ``tenant`` means all jobs of the queue; otherwise the closure applies to jobs of that
+    tenant that are over its share or limited by its quota.
+    """
 
     queue: str
     tenant: TenantName
@@ -31,13 +35,13 @@
 
 
 class Closings:
-    """Follows refusals and tells which queues are closed."""
+    """Tracks refusals and derives which queues are closed."""
 
     def __init__(self) -> None:
         self._closures: dict[Scope, _Closure] = {}
 
     def note_refused(self, scope: Scope, seconds: float, now: float) -> bool:
-        """A job was refused, and others like it for so long; return whether that is new."""
+        """Close a scope for some seconds after a refusal; return whether the closure is new."""
         closed_until = now + min(seconds, MAX_CLOSURE_SECONDS)
         closure = self._closures.get(scope)
         if closure is None:
@@ -48,17 +52,17 @@
         return False
 
     def note_taken(self, scope: Scope, now: float) -> None:
-        """A job was taken: it is not closed any more."""
+        """End the closure of a scope, because a job in it was admitted."""
         closure = self._closures.get(scope)
         if closure is not None:
             closure.closed_until = min(closure.closed_until, now)
 
     def closed_scopes(self, now: float) -> list[Scope]:
-        """Return what is closed for some time to come."""
+        """Return the scopes that are closed at this time."""
         return [scope for scope, closure in self._closures.items() if closure.closed_until > now]
 
     def take_opened(self, now: float) -> list[tuple[Scope, float]]:
-        """Return what is open again since the last call, and for how long it was closed."""
+        """Remove and return the scopes that have reopened, and how many seconds each was closed."""
         reopened = []
         for scope, closure in list(self._closures.items()):
             reopens_at = max(closure.closed_until, closure.last_refused_at + REOPEN_DELAY_SECONDS)
@@ -68,11 +72,11 @@
         return reopened
 
     def clear(self) -> None:
-        """Nothing is closed."""
+        """Remove all closures."""
         self._closures.clear()
 
     def notices(self, now: float) -> tuple[QueueNotice, ...]:
-        """Return the queues that are closed; one for everybody's jobs names no tenants."""
+        """Return a notice for each closed queue; a notice without tenants applies to all jobs."""
         closures_by_queue: dict[str, list[tuple[float, TenantName]]] = {}
         notices = {}
         for scope, closure in self._closures.items():
@@ -95,6 +99,6 @@
 
 
 def _notice(queue: str, tenant_closures: list[tuple[float, TenantName]]) -> QueueNotice:
-    """Return the notice for tenants' jobs: for no longer than the queue is closed for each."""
+    """Return a queue's notice for some tenants, closed for the shortest of their closures."""
     tenant_names = tuple(tenant for _remaining_seconds, tenant in tenant_closures)
     return QueueNotice(queue=queue, closed_seconds=tenant_closures[-1][0], tenants=tenant_names)
--- a/src/onyxspoke/core/admission/gate.py
+++ b/src/onyxspoke/core/admission/gate.py
@@ -1,10 +1,10 @@
-"""The decision about a job that is handed in: a pure function of the job and a look at the load.
+"""The admission decision: a pure function of a submitted job and a view of the load.
 
-What surely cannot be done while its caller waits is refused; what surely can is taken.  Between
-the two a job is taken if its tenant is owed it, or if it comes back when it was told to.  What is
-owed and may be on time is taken whatever waits: an answer in time is worth more to its caller than
-a late one to another.  Nothing else is taken that would make a job come too late which was taken
-before, and is no less urgent.
+A job that certainly expires before it finishes is refused; a job that certainly finishes in time is
+admitted.  In between, a job is admitted if its tenant is entitled to it, or if it is a timely
+retry of a refused job.  A job within its tenant's share that may still meet its objective is
+admitted whatever waits, because a result on time is worth more than a late one.  No other job is
+admitted if it would make an admitted late job of the same rank class expire.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 
-#: A caller is told to come back after so long at least, and at most, in seconds.
+#: Minimum and maximum retry time of a refusal, in seconds.
 SHORTEST_RETRY_SECONDS = 1.0
 MAX_RETRY_SECONDS = 120.0
 
 
 class Gate:
-    """Decides whether a job is taken; nothing is changed by it."""
+    """Decides whether a job is admitted; has no side effects."""
 
     def decide(self, job: HandIn, view: LoadView, now: float) -> Verdict:
         """Return the verdict on a job.
 
-        ``retry_after_seconds`` of a refusal is when what goes before the job is through.
+        ``retry_after_seconds`` of a refusal is the best-case delay until the job could start.
         """
         delay = view.start_delay(job)
         inputs = _verdict_inputs(job, delay or DurationBounds(0.0, 0.0), view, now)
@@ -43,9 +43,11 @@
             return Refuse(RefusalReason.TOO_LATE, MAX_RETRY_SECONDS, inputs)
         if delay is None:
             return Admit(inputs)
-        work = view.execution_seconds(job)
-        best_finish_seconds = max(delay.best_seconds, job.advice_seconds) + work.best_seconds
-        worst_finish_seconds = max(delay.worst_seconds, job.advice_seconds) + work.worst_seconds
+        execution = view.execution_seconds(job)
+        best_finish_seconds = max(delay.best_seconds, job.advice_seconds) + execution.best_seconds
+        worst_finish_seconds = (
+            max(delay.worst_seconds, job.advice_seconds) + execution.worst_seconds
+        )
         may_finish_in_time = best_finish_seconds <= inputs.seconds_to_expiry
         if may_finish_in_time and job.is_awaited:
             return Admit(inputs)
@@ -64,15 +66,16 @@
 
 
 def closed_seconds(job: HandIn, verdict: Refuse) -> float:
-    """Return for how long others like a job would be refused, were each handed in anew.
+    """Return for how many seconds newly submitted jobs like this one would be refused.
 
-    One that is refused because it would push late jobs has to wait until those are through.
+    A job within its tenant's share that is refused because it would make late jobs expire has to
+    wait until those jobs have started.
     """
     inputs = verdict.inputs
     is_uncertain = verdict.reason is RefusalReason.IN_DOUBT
     if is_uncertain and not job.rank.is_beyond_share:
         return verdict.retry_after_seconds
-    # Its own width closes nothing: narrower jobs of its queue may be taken.
+    # The job's own width is left out: narrower jobs of the queue may still be admitted.
     delay, duration_seconds = inputs.start_delay_seconds, job.chain_median_seconds
     if is_uncertain:
         delay, duration_seconds = inputs.start_delay_upper_seconds, job.chain_upper_seconds
@@ -81,14 +84,14 @@
 
 
 def _can_start_now(job: HandIn, view: LoadView, inputs: VerdictInputs) -> bool:
-    """Return whether free workers could run a job, and advice about them comes in time."""
+    """Return whether free workers could run the job now, and advice for it arrives in time."""
     max_advice_seconds = inputs.seconds_to_expiry - job.chain_median_seconds
     is_advice_in_time = job.advice_seconds <= max(max_advice_seconds, job.objective_seconds)
     return is_advice_in_time and view.has_capacity_for(job)
 
 
 def _retry_seconds(job: HandIn, delay: DurationBounds) -> float:
-    """Return when what goes before a job is through."""
+    """Return the best-case delay until the job could start, within the retry limits."""
     seconds = max(delay.best_seconds, job.advice_seconds)
     return min(max(seconds, SHORTEST_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
--- a/src/onyxspoke/core/admission/hand_in.py
+++ b/src/onyxspoke/core/admission/hand_in.py
@@ -1,4 +1,4 @@
-"""A job that is handed in, as the decision about it sees it."""
+"""A submitted job, described for the admission decision."""
 
 from __future__ import annotations
 
@@ -15,19 +15,25 @@
     StepRank,
 )
 
-_MILLISECONDS = 1_000.0
+_MS_PER_SECOND = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class StepWork:
-    """What one step asks for.
+    """The resources and the expected duration of one step.
 
     Attributes
     ----------
     needs : Needs
-        Of one task.
+        Resources of one task.
     low_seconds, median_seconds, upper_seconds : float
-        How long one task takes; the first, at least, where many are summed up.
+        Expected duration of one task; the first is a lower bound, used when many tasks are summed.
+    is_first : bool
+        The step depends on no other step.
+    label : str
+        Label that a worker must have; empty if any worker will do.
+    is_gang : bool
+        All tasks of the step must run at the same time.
     """
 
     needs: Needs
@@ -42,24 +48,24 @@
 
 @dataclass(slots=True, eq=False)
 class HandIn:
-    """A job that is handed in.
+    """A submitted job.
 
     Attributes
     ----------
     first_at : float
-        When it was handed in for the first time, in the holder's seconds.
+        Time of the first submission, on the holder's clock.
     objective_seconds : float
-        Within how long it should be done; 0 or less where nothing is asked for.
+        Time within which the job should finish; 0 or less if it has no objective.
     rank : StepRank
-        The place in the waiting line that its first step would take.
+        Rank that its first step would have in the waiting queue.
     is_finite : bool
-        It is of use once it is done: no repetitions, no tasks that last.
+        The job is useful once it finishes: it is neither repeated nor long-running.
     is_awaited : bool
-        It was refused, and comes back when it was told to.
+        The job was refused before, and is retried at the time that its caller was given.
     advice_seconds : float
-        Until the line for advice has answered about its first step.
+        Time until the advice queue has answered for its first step.
     chain_median_seconds, chain_upper_seconds : float
-        Its longest chain of steps.
+        Duration of the longest chain of dependent steps.
     """
 
     service: str
@@ -77,16 +83,16 @@
 
     @property
     def objective_ends_at(self) -> float:
-        """The holder's second until which its outcome is on time."""
+        """Time on the holder's clock until which a result meets the objective."""
         return self.first_at + self.objective_seconds
 
     @property
     def last_use_at(self) -> float:
-        """The holder's second after which its outcome is of no use to its caller."""
+        """Time on the holder's clock at which the job expires: its caller has given up."""
         return self.first_at + EXPIRY_FACTOR * self.objective_seconds
 
     def exceeds_quota(self, quota: Needs) -> bool:
-        """Return whether a quota, of which 0 sets no limit, certainly never lets it run."""
+        """Return whether the job can never run within a quota; 0 means no limit."""
         for step in self.steps:
             simultaneous_needs = times(step.needs, step.task_count) if step.is_gang else step.needs
             if any(
@@ -98,7 +104,7 @@
 
 
 def min_task_seconds(expected: Expected) -> float:
-    """Return how long a task takes at least, as the order of what waits counts it, too."""
+    """Return the lower bound of a task's duration, as the queue order computes it."""
     return CERTAIN_SHARE * max(0.0, expected.median_seconds)
 
 
@@ -110,12 +116,12 @@
     *,
     is_awaited: bool = False,
 ) -> HandIn:
-    """Return what the decision needs of a job."""
+    """Return the description of a job that the admission decision works on."""
     steps = tuple(_estimate_steps(spec, durations))
     median_seconds, upper_seconds = _longest_chain_seconds(spec, steps)
-    # By the work as it is known, as the order of what waits has it.
+    # The objective follows from the learned duration, as in the queue order.
     objective_seconds = (
-        spec.queue.stretch * median_seconds + spec.queue.target_latency_ms / _MILLISECONDS
+        spec.queue.stretch * median_seconds + spec.queue.target_latency_ms / _MS_PER_SECOND
     )
     latest_start = first_at + objective_seconds - median_seconds
     rank = StepRank(False, spec.is_beyond_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
@@ -153,7 +159,7 @@
 
 
 def _longest_chain_seconds(spec: JobSpec, step_works: tuple[StepWork, ...]) -> tuple[float, float]:
-    """Return the median and the upper seconds of the longest chain of steps."""
+    """Return the median and upper duration of the longest chain of dependent steps."""
     chain_ends: list[tuple[float, float]] = []
     for step, step_work in zip(spec.steps, step_works, strict=True):
         median_seconds = max(
--- a/src/onyxspoke/core/admission/lane.py
+++ b/src/onyxspoke/core/admission/lane.py
@@ -1,4 +1,4 @@
-"""Something that work passes through in order, and when a job comes to its turn there."""
+"""A pool of resources with a queue of waiting work, and the delay until a job could start in it."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
 from onyxspoke.core.placement.reservations import HELD_SHARE
 
-#: Of the room, what waiting gangs may hold does no work; so much does in the worst case.
+#: Share of the capacity that does work in the worst case; waiting gangs may hold the rest idle.
 WORST_CASE_USED_SHARE = 1.0 - HELD_SHARE
 
 
 def dominant_share(needs: Needs, total: Needs) -> float:
-    """Return the largest share that an amount has of what there is of a resource."""
+    """Return the largest share of any resource that an amount takes of a total."""
     share = needs[0] / total[0] if total[0] > 0 else 0.0
     if needs[1] > 0 and total[1] > 0:
         share = max(share, needs[1] / total[1])
@@ -42,24 +42,24 @@
 
 
 class HeldCapacity(NamedTuple):
-    """A share of the room that a run holds.
+    """The share of a pool's capacity that a run holds.
 
     Attributes
     ----------
-    seconds : float
-        Until it is free; infinity where that is not known.
+    seconds_left : float
+        Time until the run releases its share; infinity if unknown.
     is_preemptible : bool
-        Work of an earlier queue may take its place.
+        The run may be preempted by work of a queue with higher priority.
     """
 
-    seconds: float
+    seconds_left: float
     share: float
     priority: int
     is_preemptible: bool
 
 
 class DurationBounds(NamedTuple):
-    """Seconds until a job could begin, or that it takes, at best and at worst."""
+    """The best-case and worst-case length in seconds of a job's start delay or execution."""
 
     best_seconds: float
     worst_seconds: float
@@ -67,80 +67,89 @@
 
 @dataclass(slots=True)
 class Lane:
-    """Something that work passes through in order: the room of a service, or a tenant's quota.
+    """A pool of resources: the workers of a service, or the quota of a tenant.
+
+    Work is measured in share-seconds: one share-second uses the whole pool for one second.
 
     Attributes
     ----------
     total : Needs
-        All that there is; what shares are of.
-    works : list of WaitingWork
-        What waits, in order.
+        Capacity of the pool; shares are relative to it.
+    waiting_work : list of WaitingWork
+        Work that waits for the pool, in queue order.
     held : list of HeldCapacity
-        By what runs there.
+        Shares held by runs.
     best_case_capacity_factor : float
-        How much there would be, as a multiple, were everything in order.
+        Capacity including workers whose contact is not settled, as a multiple of ``total``.
     held_on_unsettled : list of HeldCapacity
-        Of what would be there then, by runs that are known.
+        Shares held by known runs on workers whose contact is not settled.
     stop_seconds : float
-        How long a run takes to give way.
-    coming : dict of RankClass to float
-        Work that comes in, in share-seconds a second.
-    late : dict of RankClass to list of LateWork
-        Work that waits, comes late, and is still of use.
+        Time that a run takes to stop when it is preempted.
+    arrival_rates : dict of RankClass to float
+        Rate of newly admitted work, in share-seconds per second.
+    late_work : dict of RankClass to list of LateWork
+        Waiting work of late jobs that have not expired.
     """
 
     total: Needs
-    works: list[WaitingWork]
+    waiting_work: list[WaitingWork]
     held: list[HeldCapacity]
     best_case_capacity_factor: float = 1.0
     held_on_unsettled: list[HeldCapacity] = field(default_factory=list)
     stop_seconds: float = 0.0
     arrival_rates: dict[RankClass, float] = field(default_factory=dict)
     late_work: dict[RankClass, list[LateWork]] = field(default_factory=dict)
-    #: Taken in since.
+    #: Work of jobs that were admitted after the view was made.
     _admitted: list[WaitingWork] = field(default_factory=list)
     _queues: dict[float, WaitingLine] = field(default_factory=dict)
     _margins: dict[RankClass, LateJobMargins] = field(default_factory=dict)
-    #: The job whose work was worked out last.
+    #: The job for which work was last estimated, and the estimate.
     _last_estimate: tuple[HandIn, WorkEstimate] | None = None
-    _curves: dict[tuple[int, bool], RoomCurve] = field(default_factory=dict)
+    _capacity_curves: dict[tuple[int, bool], RoomCurve] = field(default_factory=dict)
 
     def start_delay(self, job: HandIn) -> DurationBounds:
-        """Return when a job could begin."""
+        """Return the bounds of the delay until a job could start."""
         rank = job.rank
         expiry_seconds = EXPIRY_FACTOR * job.objective_seconds
-        ahead = self._queue(horizon_for(expiry_seconds)).work_before(rank)
-        best_case_curve = self._curve(rank.priority, is_best_case=True)
-        worst_case_curve = self._curve(rank.priority)
+        work_ahead = self._queue(horizon_for(expiry_seconds)).work_before(rank)
+        best_case_curve = self._capacity_curve(rank.priority, is_best_case=True)
+        worst_case_curve = self._capacity_curve(rank.priority)
         smallest_task_share = self._smallest_task_share(job)
         arrival_rate = self._arrival_rate_before(rank_class_of(rank))
-        # When the last of what goes first begins, tasks are at work that are half through.
-        best = best_case_curve.seconds_until(ahead.low) - ahead.task_seconds / 2.0
-        least = best_case_curve.seconds_until_free(
+        # When the last task ahead starts, the running tasks are half finished on average.
+        best_seconds = best_case_curve.seconds_until(work_ahead.low) - work_ahead.task_seconds / 2.0
+        earliest_seconds = best_case_curve.seconds_until_free(
             min(smallest_task_share, self.best_case_capacity_factor)
         )
-        best = delayed_by_arrivals(max(least, best), BEST_CASE_ARRIVAL_SHARE * arrival_rate)
-        worst = worst_case_curve.seconds_until(ahead.high / WORST_CASE_USED_SHARE)
-        least = worst_case_curve.seconds_until_free(min(smallest_task_share, 1.0))
-        worst = delayed_by_arrivals(max(least, worst), arrival_rate)
-        return DurationBounds(best, max(best, worst))
+        best_seconds = delayed_by_arrivals(
+            max(earliest_seconds, best_seconds), BEST_CASE_ARRIVAL_SHARE * arrival_rate
+        )
+        worst_seconds = worst_case_curve.seconds_until(work_ahead.high / WORST_CASE_USED_SHARE)
+        earliest_seconds = worst_case_curve.seconds_until_free(min(smallest_task_share, 1.0))
+        worst_seconds = delayed_by_arrivals(max(earliest_seconds, worst_seconds), arrival_rate)
+        return DurationBounds(best_seconds, max(best_seconds, worst_seconds))
 
     def _smallest_task_share(self, job: HandIn) -> float:
-        """Return the share that one task of what a job begins with takes."""
+        """Return the smallest share that one task of the job's first steps takes."""
         shares = [dominant_share(step.needs, self.total) for step in job.steps if step.is_first]
         return min(shares, default=0.0)
 
     def left_for(self, rank: StepRank) -> float:
-        """Return which share of the room is left by what comes in and goes first."""
+        """Return the share of the capacity that arrivals of earlier rank leave for a job."""
         return 1.0 - min(MAX_ARRIVAL_SHARE, self._arrival_rate_before(rank_class_of(rank)))
 
     def _arrival_rate_before(self, rank_class: RankClass) -> float:
-        return sum(rate for other, rate in self.arrival_rates.items() if other < rank_class)
+        return sum(
+            class_rate
+            for other_class, class_rate in self.arrival_rates.items()
+            if other_class < rank_class
+        )
 
     def would_expire_late_job(self, job: HandIn) -> bool:
-        """Return whether a late job that was taken would come too late for this one.
+        """Return whether admitting a job would make an admitted late job expire.
 
-        A forecast is no finer than a task is long, and so is what is left between them.
+        The duration of the job's longest task is added to its work, because a forecast is no more
+        precise than that.
         """
         margins = self._margins_of(rank_class_of(job.rank))
         if margins is None:
@@ -148,16 +157,16 @@
         work = self.work_of(job)
         return margins.any_expires_after(work.low + work.task_seconds)
 
-    def _queue(self, horizon: float) -> WaitingLine:
-        queue = self._queues.get(horizon)
+    def _queue(self, horizon_seconds: float) -> WaitingLine:
+        queue = self._queues.get(horizon_seconds)
         if queue is None:
-            queue = self._queues[horizon] = WaitingLine(self.works, horizon)
+            queue = self._queues[horizon_seconds] = WaitingLine(self.waiting_work, horizon_seconds)
             for work in self._admitted:
                 queue.add(work)
         return queue
 
     def add(self, job: HandIn) -> None:
-        """Count a job that was taken in since."""
+        """Count a job that was admitted after the view was made."""
         margins = self._margins_of(rank_class_of(job.rank))
         if margins is not None:
             margins.add(self.work_of(job).low)
@@ -181,54 +190,68 @@
         last_rank = StepRank(
             False, rank_class.is_over_share, rank_class.priority, Lateness.EXPIRED, 0.0, 0
         )
-        waiting = sum(item.work for item in late_work if not item.earliest_start_seconds)
-        on_time = self._queue(HORIZONS_SECONDS[-1]).work_before(last_rank).low - waiting
-        curve = self._curve(rank_class.priority, is_best_case=True)
+        waiting_late_work = sum(
+            item.work_share_seconds for item in late_work if not item.earliest_start_seconds
+        )
+        on_time_work = (
+            self._queue(HORIZONS_SECONDS[-1]).work_before(last_rank).low - waiting_late_work
+        )
+        curve = self._capacity_curve(rank_class.priority, is_best_case=True)
         arrival_rate = self._arrival_rate_before(rank_class)
 
         def seconds_until(work: float) -> float:
             return delayed_by_arrivals(curve.seconds_until(work), arrival_rate)
 
-        return LateJobMargins(late_work, on_time, seconds_until)
+        return LateJobMargins(late_work, on_time_work, seconds_until)
 
     def work_of(self, job: HandIn) -> WorkEstimate:
-        """Return the work of a job, and the length of its longest task."""
+        """Return the work of a job, and the duration of its longest task."""
         if self._last_estimate is None or self._last_estimate[0] is not job:
             self._last_estimate = (job, self.work_within(job, HORIZONS_SECONDS[-1]))
         return self._last_estimate[1]
 
-    def work_within(self, job: HandIn, horizon: float) -> WorkEstimate:
-        """Return the same, with no task counted for longer than so many seconds."""
+    def work_within(self, job: HandIn, horizon_seconds: float) -> WorkEstimate:
+        """Return the work of a job, with the duration of each task capped at a horizon."""
         low = high = longest_task_seconds = 0.0
         for step in job.steps:
             share = dominant_share(step.needs, self.total) * step.task_count
-            low += share * min(step.low_seconds, horizon)
-            high += share * min(step.upper_seconds, horizon)
-            longest_task_seconds = max(longest_task_seconds, min(step.median_seconds, horizon))
+            low += share * min(step.low_seconds, horizon_seconds)
+            high += share * min(step.upper_seconds, horizon_seconds)
+            longest_task_seconds = max(
+                longest_task_seconds, min(step.median_seconds, horizon_seconds)
+            )
         return WorkEstimate(low, high, longest_task_seconds)
 
-    def _curve(self, priority: int, *, is_best_case: bool = False) -> RoomCurve:
-        """Return how room comes free for a queue; of all that would be there in the best case.
+    def _capacity_curve(self, priority: int, *, is_best_case: bool = False) -> RoomCurve:
+        """Return the capacity that becomes free for a queue of a priority.
 
-        A worker that was not heard yet may stand free, and be heard the next moment.
+        In the best case, workers whose contact is not settled are counted, because they may be idle
+        and answer at any moment.
         """
         is_best_case = is_best_case and self.best_case_capacity_factor > 1.0
-        curve = self._curves.get((priority, is_best_case))
+        curve = self._capacity_curves.get((priority, is_best_case))
         if curve is None:
             total = self.best_case_capacity_factor if is_best_case else 1.0
             held = self.held + self.held_on_unsettled if is_best_case else self.held
-            curve = self._curves[priority, is_best_case] = self._make_curve(priority, total, held)
+            curve = self._capacity_curves[priority, is_best_case] = self._make_capacity_curve(
+                priority, total, held
+            )
         return curve
 
-    def _make_curve(self, priority: int, total: float, held: list[HeldCapacity]) -> RoomCurve:
-        """Return how room comes free for a queue: later ones' runs give way where they can."""
-        ends = []
-        free = total
+    def _make_capacity_curve(
+        self, priority: int, total: float, held: list[HeldCapacity]
+    ) -> RoomCurve:
+        """Return the capacity that becomes free for a queue of a priority.
+
+        Preemptible runs of queues with lower priority release their share as soon as they can stop.
+        """
+        releases = []
+        free_share = total
         for run in held:
-            free -= run.share
-            seconds = run.seconds
+            free_share -= run.share
+            seconds = run.seconds_left
             if run.is_preemptible and run.priority > priority:
                 seconds = min(seconds, self.stop_seconds)
             if seconds < math.inf:
-                ends.append((seconds, run.share))
-        return RoomCurve(free, ends)
+                releases.append((seconds, run.share))
+        return RoomCurve(free_share, releases)
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -1,4 +1,4 @@
-"""What waits, what runs and what is free, as decisions about hand-ins see it for a moment."""
+"""A view of the waiting, running and free capacity at one moment, for admission decisions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FreeCapacity(NamedTuple):
-    """Room of one worker that nothing holds."""
+    """The free capacity of one worker."""
 
     resources: Needs
     labels: tuple[str, ...]
@@ -21,20 +21,20 @@
 
 @dataclass(slots=True)
 class LoadView:
-    """A moment's look at the load.
+    """A view of the load at one moment.
 
     Attributes
     ----------
     made_at : float
-        When what waits was looked at, in the holder's seconds.
+        Time on the holder's clock at which the view was made.
     lanes : dict of str to Lane
-        By service; one without workers is not there.
+        Pool of each service that has workers.
     quotas : dict of TenantName to Needs
-        Of tenants that have one.
+        Quota of each tenant that has one.
     quota_pools : dict of TenantName to Lane
-        Of those.
-    free : dict of str to list of FreeCapacity
-        By service, the workers that have room, with the most processors first.
+        Pool of each tenant that has a quota.
+    free_capacity : dict of str to list of FreeCapacity
+        Workers of each service with free capacity, in descending order of free processors.
     """
 
     made_at: float
@@ -42,11 +42,11 @@
     quotas: dict[TenantName, Needs] = field(default_factory=dict)
     quota_pools: dict[TenantName, Lane] = field(default_factory=dict)
     free_capacity: dict[str, list[FreeCapacity]] = field(default_factory=dict)
-    #: What was taken in since and has no room yet, by service.
+    #: Needs of jobs that were admitted after the view was made, by service.
     _admitted_needs: dict[str, Needs] = field(default_factory=dict)
 
     def start_delay(self, job: HandIn) -> DurationBounds | None:
-        """Return when a job could begin, or nothing where that is not known."""
+        """Return the bounds of the delay until a job could start, or None if it is unknown."""
         lane = self.lanes.get(job.service)
         if lane is None:
             return None
@@ -55,8 +55,8 @@
         if quota_pool is None:
             return delay
         quota_delay = quota_pool.start_delay(job)
-        best = max(delay.best_seconds, quota_delay.best_seconds)
-        return DurationBounds(best, max(delay.worst_seconds, quota_delay.worst_seconds))
+        best_seconds = max(delay.best_seconds, quota_delay.best_seconds)
+        return DurationBounds(best_seconds, max(delay.worst_seconds, quota_delay.worst_seconds))
 
     def is_held_by_quota(self, job: HandIn) -> bool:
         """Return whether a job waits for its tenant's quota rather than for workers."""
@@ -67,17 +67,21 @@
         return quota_pool.start_delay(job).best_seconds > lane.start_delay(job).best_seconds
 
     def execution_seconds(self, job: HandIn) -> DurationBounds:
-        """Return how long a job itself takes: its longest chain, or more where it is wide."""
-        best, worst = job.chain_median_seconds, job.chain_upper_seconds
+        """Return the bounds of a job's duration once it has started.
+
+        The duration is that of the job's longest chain of steps, or longer if the job needs more
+        capacity than the pool has.
+        """
+        best_seconds, worst_seconds = job.chain_median_seconds, job.chain_upper_seconds
         for lane in (self.lanes.get(job.service), self.quota_pools.get(job.tenant)):
             if lane is not None:
                 work = lane.work_of(job)
-                best = max(best, work.low / lane.best_case_capacity_factor)
-                worst = max(worst, work.high)
-        return DurationBounds(best, worst)
+                best_seconds = max(best_seconds, work.low / lane.best_case_capacity_factor)
+                worst_seconds = max(worst_seconds, work.high)
+        return DurationBounds(best_seconds, worst_seconds)
 
     def add(self, job: HandIn) -> None:
-        """Count a job that was taken in since."""
+        """Count a job that was admitted after the view was made."""
         lane = self.lanes.get(job.service)
         if lane is None:
             return
@@ -92,12 +96,12 @@
         self._admitted_needs[job.service] = admitted_needs
 
     def would_expire_late_job(self, job: HandIn) -> bool:
-        """Return whether a late job that was taken would come too late for this one."""
+        """Return whether admitting a job would make an admitted late job expire."""
         lane = self.lanes.get(job.service)
         return lane is not None and lane.would_expire_late_job(job)
 
     def has_capacity_for(self, job: HandIn) -> bool:
-        """Return whether every task that a job begins with has room now."""
+        """Return whether all tasks of the job's first steps could start now."""
         workers = self.free_capacity.get(job.service, [])
         admitted_needs = self._admitted_needs.get(job.service, Needs())
         return all(
@@ -118,25 +122,25 @@
 
 
 def _fits(step: StepWork, workers: list[FreeCapacity], admitted_needs: Needs) -> bool:
-    """Return whether a step's tasks have room beside what others will take of it."""
-    missing_tasks = step.task_count
+    """Return whether a step's tasks fit on the workers, beside the tasks of other admitted jobs."""
+    unplaced_tasks = step.task_count
     if any(admitted_needs):
-        missing_tasks += _tasks_displaced(step.needs, admitted_needs)
+        unplaced_tasks += _displaced_task_count(step.needs, admitted_needs)
     for worker in workers:
         if worker.resources.processors_milli < step.needs.processors_milli:
             return False
         if step.label and step.label not in worker.labels:
             continue
-        missing_tasks -= slots_within(worker.resources, step.needs)
-        if missing_tasks <= 0:
+        unplaced_tasks -= slots_within(worker.resources, step.needs)
+        if unplaced_tasks <= 0:
             return True
     return False
 
 
-def _tasks_displaced(needs: Needs, admitted_needs: Needs) -> int:
-    """Return for how many tasks there is less room, with so much of it taken."""
-    displaced = 0
-    for need, amount in zip(needs, admitted_needs, strict=True):
+def _displaced_task_count(needs: Needs, admitted_needs: Needs) -> int:
+    """Return how many tasks of this size the admitted needs may displace."""
+    displaced_tasks = 0
+    for need, admitted_amount in zip(needs, admitted_needs, strict=True):
         if need > 0:
-            displaced = max(displaced, -(-amount // need))
-    return displaced
+            displaced_tasks = max(displaced_tasks, -(-admitted_amount // need))
+    return displaced_tasks
--- a/src/onyxspoke/core/admission/promises.py
+++ b/src/onyxspoke/core/admission/promises.py
@@ -1,6 +1,7 @@
-"""Late jobs that were taken, and how much work may yet go before them.
+"""Late jobs that were admitted, and how much more work may go before them.
 
-What is late goes behind what can still be on time, so each job that is taken pushes it further.
+A late job ranks behind jobs that can still meet their objective, so each job that is admitted may
+delay it further.
 """
 
 from __future__ import annotations
@@ -16,29 +17,31 @@
     Attributes
     ----------
     slack_seconds : float
-        For how long it may still wait and be of use.
-    work : float
-        In share-seconds.
+        Time that the work may still wait before the job expires.
+    work_share_seconds : float
+        Amount of work, in share-seconds.
     earliest_start_seconds : float
-        Before then it does not begin: it was refused, and comes back when it was told to.
+        Time before which the work cannot start, because the job was refused and is to be retried.
     """
 
     slack_seconds: float
-    work: float
+    work_share_seconds: float
     earliest_start_seconds: float = 0.0
 
 
 class LateJobMargins:
-    """The room for more work before late jobs of one class.
+    """How far the late jobs of one rank class can be delayed before they expire.
+
+    One share-second of additional work is taken to delay each of them by one second.
 
     Parameters
     ----------
-    late : list of LateWork
-        In any order; what has least time left goes first.
+    late_works : list of LateWork
+        Work of the late jobs, in any order; the work with the least slack goes first.
     preceding_work : float
-        What goes before them, in share-seconds.
+        Work that goes before them, in share-seconds.
     seconds_until_started : callable
-        Returns in how many seconds so much work has begun.
+        Returns the time in seconds until a given amount of work, in share-seconds, has started.
     """
 
     def __init__(
@@ -53,16 +56,19 @@
                 late_work.earliest_start_seconds, seconds_until_started(preceding_work)
             )
             margins.append(late_work.slack_seconds - start_seconds)
-            preceding_work += late_work.work
-        #: Those that come too late anyhow are not pushed any more.
+            preceding_work += late_work.work_share_seconds
+        #: Margins in seconds; jobs that expire in any case are left out.
         self._margins = sorted(margin for margin in margins if margin >= 0.0)
         self._admitted_work = 0.0
 
-    def add(self, work: float) -> None:
-        """More work was taken in that goes before."""
-        self._admitted_work += work
+    def add(self, work_share_seconds: float) -> None:
+        """Count admitted work that goes before the late jobs."""
+        self._admitted_work += work_share_seconds
 
-    def any_expires_after(self, work: float) -> bool:
-        """Return whether with so much more work some job would come too late that would not."""
+    def any_expires_after(self, work_share_seconds: float) -> bool:
+        """Return whether this much more work would make another late job expire."""
         index = bisect_left(self._margins, self._admitted_work)
-        return index < len(self._margins) and self._margins[index] < self._admitted_work + work
+        return (
+            index < len(self._margins)
+            and self._margins[index] < self._admitted_work + work_share_seconds
+        )
--- a/src/onyxspoke/core/admission/returns.py
+++ b/src/onyxspoke/core/admission/returns.py
@@ -1,8 +1,8 @@
-"""Who was refused, and when each is to come back.
+"""Refused jobs, and the times at which they are to be retried.
 
-A job is known by a hash of its name.  The first time that it was handed in counts for its place
-and its objective when it comes again.  What is remembered is bounded, and a new holder begins
-without it; who is forgotten loses a place in the line, nothing else.
+A job is identified by a hash of its tenant and identifier.  On a retry, the time of the first
+submission determines its rank and its objective.  The number of remembered jobs is bounded, and a
+new holder starts with none; a forgotten job loses its rank, and nothing else.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from onyxspoke.core.jobs.model import JobId
 from onyxspoke.core.tenants.policy import TenantName
 
-#: Refused jobs that are remembered.
+#: Maximum number of refused jobs that are remembered.
 MAXIMUM_REMEMBERED = 4_096
 HASH_BYTES = 8
-#: A job that comes back within so long after its second, in seconds, is on time.
+#: A retry that comes at most this late, in seconds, is timely.
 LATE_TOLERANCE_SECONDS = 2.0
-#: Callers count whole seconds from an answer that was under way; so much earlier is on time, too.
+#: A retry that comes at most this early, in seconds, is timely; covers the reply's time in transit.
 EARLY_TOLERANCE_SECONDS = 0.5
-#: They are told whole seconds, and so may come so much later than would do.
+#: Retry times are rounded up to whole seconds, which delays a retry by up to this many seconds.
 ROUNDING_SECONDS = 1.0
 
 JobHash = int
@@ -38,15 +38,19 @@
     Attributes
     ----------
     first_at : float
-        When it was first handed in.
+        Time of the first submission.
     last_use_at : float
-        From when on its outcome is of no use.
+        Time at which the job expires.
+    is_owed : bool
+        The job is within its tenant's fair share.
     refusals : int
-        How many times in a row it was refused.
+        Number of consecutive refusals.
     retry_at : float
-        When it is to come back.
-    slot : Slot or None
-        What is kept for it; nothing once it is late.
+        Time at which the caller should retry.
+    expected_retry : ExpectedRetry
+        Work that the retry would bring.
+    slot : RetrySlot or None
+        Reservation for the retry; None once the retry is overdue.
     """
 
     first_at: float
@@ -58,7 +62,7 @@
     slot: RetrySlot | None
 
     def is_on_time(self, now: float) -> bool:
-        """Return whether a job that comes now comes when it was told to."""
+        """Return whether a retry at this time is timely, neither early nor late."""
         has_slot = self.slot is not None
         return (
             has_slot and -EARLY_TOLERANCE_SECONDS <= now - self.retry_at <= LATE_TOLERANCE_SECONDS
@@ -66,31 +70,31 @@
 
 
 def hash_of(tenant: TenantName, job_id: JobId) -> JobHash:
-    """Return the hash by which a job is remembered."""
+    """Return the hash that identifies a job."""
     digest = blake2b(f"{tenant}/{job_id}".encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def longest_wait(job: HandIn, now: float) -> int:
-    """Return for how many whole seconds a refused job may stay away and be of use when it comes."""
+    """Return the maximum retry time, in whole seconds, with which a job still finishes in time."""
     seconds = job.last_use_at - now - job.chain_upper_seconds - ROUNDING_SECONDS
     return int(min(max(0.0, seconds), MAX_WAIT_SECONDS))
 
 
 class Returns:
-    """Remembers refused jobs and spreads their returns over time."""
+    """Remembers refused jobs, and spreads their retries over time."""
 
     def __init__(self) -> None:
-        self._refused: dict[JobHash, Refused] = {}
+        self._jobs: dict[JobHash, Refused] = {}
         self.seconds = ServedSeconds()
 
     def __len__(self) -> int:
-        """Return how many refused jobs are remembered."""
-        return len(self._refused)
+        """Return the number of remembered jobs."""
+        return len(self._jobs)
 
     def find(self, key: JobHash) -> Refused | None:
-        """Return what is remembered of a job."""
-        return self._refused.get(key)
+        """Return the record of a refused job, or None if there is none."""
+        return self._jobs.get(key)
 
     def refuse(
         self,
@@ -103,25 +107,25 @@
         *,
         is_load_known: bool = True,
     ) -> int:
-        """Remember a refused job; return after how many whole seconds it is to come back.
+        """Record a refused job, and return the retry time in whole seconds.
 
         Parameters
         ----------
         work : float
-            Of the job, in share-seconds of its service.
+            Work of the job, in share-seconds of its service.
         wait_seconds : float
-            How long it waits at least.
-        most : float
-            Of each second, what may be kept for jobs like it, in share-seconds.
+            Minimum retry time.
+        max_reserved_work : float
+            Work that may be reserved in each second for jobs of this urgency, in share-seconds.
         is_load_known : bool
-            Otherwise it is never told a second after its use for want of one with work left.
+            If false, a job for which no second is left is not told to retry after it has expired.
         """
         previous = self.forget(key)
-        if len(self._refused) >= MAXIMUM_REMEMBERED:
-            self.forget(next(iter(self._refused)))
+        if len(self._jobs) >= MAXIMUM_REMEMBERED:
+            self.forget(next(iter(self._jobs)))
         slot = self._reserve_slot(job, work, wait_seconds, max_reserved_work, now, is_load_known)
         retry_seconds = slot.retry_seconds if slot is not None else MAX_WAIT_SECONDS
-        self._refused[key] = Refused(
+        self._jobs[key] = Refused(
             first_at=job.first_at,
             last_use_at=job.last_use_at,
             is_owed=not job.rank.is_beyond_share,
@@ -141,9 +145,9 @@
         now: float,
         is_load_known: bool,
     ) -> RetrySlot | None:
-        """Keep a second in which a job can still be of use, or else the first one after that.
+        """Reserve a second in which the job can still finish, or the first one after it expires.
 
-        In between it would be refused once more; after it, its caller may begin anew.
+        A retry in between would be refused again; after the expiry, the job counts as new.
         """
         reserve = self.seconds.keep_slot
         slot = reserve(
@@ -158,18 +162,18 @@
         return slot
 
     def forget(self, key: JobHash) -> Refused | None:
-        """Drop what is remembered of a job, as once it was taken; return it."""
-        refused = self._refused.pop(key, None)
+        """Remove and return the record of a job, for instance when the job is admitted."""
+        refused = self._jobs.pop(key, None)
         if refused is not None and refused.slot is not None:
             self.seconds.release(refused.slot)
         return refused
 
     def awaited(self, now: float) -> Iterator[ExpectedRetry]:
-        """Return the work of the jobs that may yet come back on time, and be of use.
+        """Yield the work of refused jobs whose retry is still expected before they expire.
 
-        One that is told a second after its last use may never come, and is new if it does.
+        A job that is told to retry after its expiry may not come, and counts as new if it does.
         """
-        for refused in self._refused.values():
+        for refused in self._jobs.values():
             is_of_use = refused.retry_at <= refused.last_use_at
             if (
                 is_of_use
@@ -179,8 +183,8 @@
                 yield refused.expected_retry
 
     def keep(self, now: float) -> None:
-        """Give back what was kept for jobs that did not come; forget what is of no more use."""
-        for key, refused in list(self._refused.items()):
+        """Release the reservations of overdue retries, and forget those that have expired."""
+        for key, refused in list(self._jobs.items()):
             if now <= refused.retry_at + LATE_TOLERANCE_SECONDS:
                 continue
             if now > refused.last_use_at:
--- a/src/onyxspoke/core/admission/room_curve.py
+++ b/src/onyxspoke/core/admission/room_curve.py
@@ -1,34 +1,34 @@
-"""Room that comes free, as a step function of time."""
+"""The capacity that becomes free, as a step function of time."""
 
 from __future__ import annotations
 
 import math
 from bisect import bisect_left
 
-#: Shares that were taken and given back sum up to so little less than they are.
+#: Tolerance for the rounding error in a sum of shares.
 ROUNDING_TOLERANCE = 1e-9
 
 
 class RoomCurve:
-    """How much work room that is free, or comes free, has taken up by when.
+    """The work that free capacity can do as a function of time.
 
-    Amounts are shares of all that there is: whole room does one share-second of work a second.
+    The whole capacity does one share-second of work per second.
 
     Parameters
     ----------
-    free : float
-        Share that is free now.
-    ends : list of (float, float)
-        In how many seconds which share comes free.
+    initial_free_share : float
+        Share of the capacity that is free now.
+    releases : list of (float, float)
+        Time in seconds until a share becomes free, and that share.
     """
 
     def __init__(self, initial_free_share: float, releases: list[tuple[float, float]]) -> None:
-        #: Where the share that is free changes: seconds from now, work done until then, and the
-        #: share from then on.
+        #: For each change of the free share: seconds from now, work that can be done until then,
+        #: and the free share from then on.
         self._change_seconds = [0.0]
         self._work_done = [0.0]
         self._free_shares = [max(0.0, initial_free_share)]
-        # More may be taken than there is, as after a quota was lowered.
+        # The free share is negative if more is held than the total, as after a quota was lowered.
         free_share = initial_free_share
         for seconds, share in sorted(releases):
             elapsed_seconds = seconds - self._change_seconds[-1]
@@ -42,7 +42,7 @@
             self._free_shares[-1] = max(0.0, free_share)
 
     def seconds_until(self, work: float) -> float:
-        """Return in how many seconds so many share-seconds of work are through."""
+        """Return the time in seconds until this much work, in share-seconds, can be done."""
         if work <= 0.0:
             return 0.0
         index = max(0, bisect_left(self._work_done, work) - 1)
@@ -53,6 +53,6 @@
         )
 
     def seconds_until_free(self, share: float) -> float:
-        """Return in how many seconds so large a share is free at once."""
+        """Return the time in seconds until a share of this size is free."""
         index = bisect_left(self._free_shares, share - ROUNDING_TOLERANCE)
         return self._change_seconds[index] if index < len(self._free_shares) else math.inf
--- a/src/onyxspoke/core/admission/slots.py
+++ b/src/onyxspoke/core/admission/slots.py
@@ -1,23 +1,23 @@
-"""Seconds at which refused jobs come back: in each, no more than is served in it."""
+"""The seconds at which refused jobs are to be retried, each with at most the work it can serve."""
 
 from __future__ import annotations
 
 import math
 from typing import NamedTuple
 
-#: Work that every second has room for, in share-seconds: all that a service does in it.
+#: Work that a service can do in one second, in share-seconds.
 WHOLE_SECOND = 1.0
-#: What is not urgent is given so much of it, so that the urgent, and who is refused once more, find
-#: some of each second.
+#: Work of each second, in share-seconds, that may be reserved for jobs that are not urgent; the
+#: rest is left for urgent jobs and for jobs that are refused again.
 PATIENT_SHARE = 0.75
-#: Nobody is told to come back later than this, in seconds.
+#: Maximum retry time, in seconds.
 MAX_WAIT_SECONDS = 120
 
 
 class RetrySlot(NamedTuple):
-    """A second at which a job is awaited, and the work that is kept for it by second.
+    """The second at which a job is to be retried, and the work reserved for it in each second.
 
-    ``retry_seconds`` is after how many whole seconds that was, when it was kept.
+    ``retry_seconds`` is the retry time in whole seconds, from when the slot was reserved.
     """
 
     service: str
@@ -27,7 +27,7 @@
 
 
 class ServedSeconds:
-    """Work for which each second ahead is kept, by service."""
+    """The work that is reserved in each future second for retries, by service."""
 
     def __init__(self) -> None:
         self._reserved: dict[str, dict[int, float]] = {}
@@ -41,18 +41,18 @@
         now: float,
         max_wait_seconds: float = MAX_WAIT_SECONDS,
     ) -> RetrySlot | None:
-        """Keep the first second with work left for a job; nothing if all up to the last are full.
+        """Reserve work from the first second with any left; return None if there is no such second.
 
         Parameters
         ----------
         work : float
-            Of the job, in share-seconds.
+            Work of the job, in share-seconds.
         wait_seconds : float
-            How long it waits at least.
-        most : float
-            Of each second, what may be kept in all once its part is, in share-seconds.
+            Minimum retry time.
+        max_reserved_work : float
+            Upper bound of the work reserved in each second, in share-seconds.
         max_wait_seconds : float
-            How long it waits at most.
+            Maximum retry time.
         """
         reserved = self._reserved.setdefault(service, {})
         first_wait = max(1, math.ceil(wait_seconds))
@@ -69,7 +69,7 @@
         return None
 
     def release(self, slot: RetrySlot) -> None:
-        """Free what was kept."""
+        """Release the work that is reserved for a slot."""
         reserved = self._reserved.get(slot.service, {})
         for second, work in slot.reservations:
             remaining_work = reserved.get(second, 0.0) - work
@@ -79,16 +79,16 @@
                 reserved.pop(second, None)
 
     def kept_work(self, service: str, now: float) -> float:
-        """Return the work for which seconds ahead are kept, in share-seconds."""
+        """Return the work that is reserved in all future seconds, in share-seconds."""
         reserved = self._reserved.get(service, {})
         return sum(work for second, work in reserved.items() if second > now)
 
     def kept_in(self, service: str, second: int) -> float:
-        """Return the work for which a second is kept, in share-seconds."""
+        """Return the work that is reserved in one second, in share-seconds."""
         return self._reserved.get(service, {}).get(second, 0.0)
 
     def forget_before(self, now: float) -> None:
-        """Drop seconds that are over."""
+        """Drop seconds that have passed."""
         for reserved in self._reserved.values():
             for second in [second for second in reserved if second < int(now)]:
                 del reserved[second]
@@ -97,7 +97,7 @@
 def _reserve(
     reserved: dict[int, float], second: int, work: float, max_reserved_work: float
 ) -> tuple[tuple[int, float], ...]:
-    """Keep seconds from one on for so much work, as much of each as is left."""
+    """Reserve work from a second on, within the limit of each; return the amount by second."""
     reservations = []
     last_second = second + MAX_WAIT_SECONDS
     while work > 0.0 and second <= last_second:
--- a/src/onyxspoke/core/admission/summary.py
+++ b/src/onyxspoke/core/admission/summary.py
@@ -1,29 +1,29 @@
-"""What a holder tells the entries of its queues, with its heartbeats.
+"""The summary of closed queues that a holder sends to the entries with its heartbeats.
 
-Only the holder knows which jobs it has taken, so an entry that reaches it always asks it.  An entry
-that does not goes by the summary: it answers early, and tells when to come back.
+Only the holder knows which jobs it has admitted, so an entry that reaches the holder always asks
+it.  An entry that cannot reach the holder uses the summary to refuse early with a retry time.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-#: A summary takes at most so many bytes of a heartbeat.
+#: Maximum size of a summary in a heartbeat, in bytes.
 SUMMARY_BYTES = 1_024
 _encoder = msgspec.msgpack.Encoder()
-#: The head of a long array over that of a short one.
-_ARRAY_HEAD_BYTES = 4
+#: Additional bytes in the header of a long array, compared with a short one.
+_ARRAY_HEADER_BYTES = 4
 
 
 class QueueNotice(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A queue that takes nothing for a while.
+    """A queue that is closed for some time.
 
     Attributes
     ----------
     closed_seconds : float
-        For how much longer, from when the summary was made.
+        Rest of the closure, from the time at which the summary was made.
     tenants : tuple of str
-        For whose jobs; empty for everybody's.
+        Tenants for which the queue is closed; empty if it is closed for all.
     """
 
     queue: str
@@ -32,14 +32,14 @@
 
 
 class AdmissionSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The queues of one shard that are closed; a queue that is not named is open.
+    """The closed queues of one shard; a queue that is not named is open.
 
     Attributes
     ----------
     token : int
-        Fencing token of the holder that made it; one of an earlier holder counts for nothing.
+        Fencing token of the holder that made the summary; a previous holder's summary is ignored.
     age_seconds : float
-        How old it was when it was sent.
+        Age of the summary when it was sent.
     """
 
     token: int
@@ -48,24 +48,26 @@
 
 
 def size_of_summary(summary: AdmissionSummary) -> int:
-    """Return how many bytes a summary takes."""
+    """Return the encoded size of a summary in bytes."""
     return len(_encoder.encode(summary))
 
 
-def bound_summary(summary: AdmissionSummary, most_bytes: int = SUMMARY_BYTES) -> AdmissionSummary:
-    """Return a summary of at most so many bytes.
+def bound_summary(summary: AdmissionSummary, max_bytes: int = SUMMARY_BYTES) -> AdmissionSummary:
+    """Return the summary, without as many notices as needed to keep it within a size.
 
-    Queues that are closed for longest are told first; one that is not told counts as open.
+    Queues that are closed for longer are kept first; a queue that is left out counts as open.
     """
-    if size_of_summary(summary) <= most_bytes:
+    if size_of_summary(summary) <= max_bytes:
         return summary
     notices = sorted(summary.notices, key=lambda notice: -notice.closed_seconds)
     kept: list[QueueNotice] = []
-    # An array of many needs a longer head than one of few.
-    size = size_of_summary(msgspec.structs.replace(summary, notices=())) + _ARRAY_HEAD_BYTES
+    # A long array has a longer header than the empty one that is measured here.
+    total_bytes = (
+        size_of_summary(msgspec.structs.replace(summary, notices=())) + _ARRAY_HEADER_BYTES
+    )
     for notice in notices:
-        length = len(_encoder.encode(notice))
-        if size + length <= most_bytes:
-            size += length
+        notice_bytes = len(_encoder.encode(notice))
+        if total_bytes + notice_bytes <= max_bytes:
+            total_bytes += notice_bytes
             kept.append(notice)
     return msgspec.structs.replace(summary, notices=tuple(kept))
--- a/src/onyxspoke/core/admission/verdict.py
+++ b/src/onyxspoke/core/admission/verdict.py
@@ -1,4 +1,4 @@
-"""What is decided about a job that is handed in."""
+"""The outcome of an admission decision."""
 
 from __future__ import annotations
 
@@ -7,26 +7,25 @@
 
 import msgspec
 
-_DIGITS = 3
+_LOG_DIGITS = 3
 
 
 class RefusalReason(Enum):
     """Why a job is refused.
 
-    ``TOO_LATE``: even the best case ends after its caller's last moment of use.  ``IN_DOUBT``: the
-    worst case does, and its tenant is owed nothing for it, or a job that was taken before would
-    come too late for it.  ``STORE_AWAY``: nothing can be promised, because the store does not
-    answer.
+    ``TOO_LATE``: the job expires before it finishes, even in the best case.  ``IN_DOUBT``: the job
+    expires in the worst case and its tenant is not entitled to it, or admitting it would make an
+    admitted late job expire.  ``STORE_AWAY``: the store does not answer, so no job can be accepted.
     """
 
     TOO_LATE = "too_late"
     IN_DOUBT = "in_doubt"
     STORE_AWAY = "store_in_trouble"
-    #: No holder can be reached, and the last one told its entries that the queue is closed.
+    #: No holder can be reached, and the last summary said that the queue is closed.
     CLOSED = "queue_closed"
 
 
-#: Reasons that follow from how much waits; any other refusal follows from a fault.
+#: Reasons that are due to load; any other refusal is due to a fault.
 _LOAD_REASONS = frozenset(
     reason.value
     for reason in (RefusalReason.TOO_LATE, RefusalReason.IN_DOUBT, RefusalReason.CLOSED)
@@ -34,25 +33,25 @@
 
 
 def is_for_load(reason: str) -> bool:
-    """Return whether a refusal's reason, as a reply carries it, is load and not trouble."""
+    """Return whether the reason of a refusal, as in a reply, is load rather than a fault."""
     return reason in _LOAD_REASONS
 
 
 class VerdictInputs(msgspec.Struct, frozen=True, kw_only=True):
-    """What a verdict follows from, for logs.
+    """The values on which a verdict is based, for log lines.
 
     Attributes
     ----------
     start_delay_seconds, start_delay_upper_seconds : float
-        Until what goes first has begun, at best and at worst.
+        Best-case and worst-case delay until the job could start.
     advice_seconds : float
-        Until the line for advice has served what goes first.
+        Time until the advice queue has answered for the job.
     work_median_seconds, work_upper_seconds : float
-        The job's longest chain of steps: the median, and an upper quantile.
+        Median and upper quantile of the duration of the job's longest chain of steps.
     seconds_to_expiry : float
-        From now until the last moment at which the outcome is of use.
+        Time until the job expires.
     load_view_age_seconds : float
-        How long ago what waits was looked at.
+        Age of the view of the load.
     """
 
     start_delay_seconds: float
@@ -64,26 +63,26 @@
     start_delay_upper_seconds: float = 0.0
 
     def as_fields(self) -> dict[str, float]:
-        """Return them as they are logged."""
+        """Return the values as keys of a log line."""
         return {
-            "ahead_s": round(self.start_delay_seconds, _DIGITS),
-            "ahead_upper_s": round(self.start_delay_upper_seconds, _DIGITS),
-            "advice_s": round(self.advice_seconds, _DIGITS),
-            "work_s": round(self.work_median_seconds, _DIGITS),
-            "work_upper_s": round(self.work_upper_seconds, _DIGITS),
-            "patience_s": round(self.seconds_to_expiry, _DIGITS),
-            "view_age_s": round(self.load_view_age_seconds, _DIGITS),
+            "ahead_s": round(self.start_delay_seconds, _LOG_DIGITS),
+            "ahead_upper_s": round(self.start_delay_upper_seconds, _LOG_DIGITS),
+            "advice_s": round(self.advice_seconds, _LOG_DIGITS),
+            "work_s": round(self.work_median_seconds, _LOG_DIGITS),
+            "work_upper_s": round(self.work_upper_seconds, _LOG_DIGITS),
+            "patience_s": round(self.seconds_to_expiry, _LOG_DIGITS),
+            "view_age_s": round(self.load_view_age_seconds, _LOG_DIGITS),
         }
 
 
 class Admit(msgspec.Struct, frozen=True):
-    """The job is taken."""
+    """The job is admitted."""
 
     inputs: VerdictInputs
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """The job is not taken, and never runs; its caller is to come back."""
+    """The job is refused and never runs; its caller should retry."""
 
     reason: RefusalReason
     retry_after_seconds: float
@@ -95,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A job that is not taken: why, and when its caller is to come back."""
+    """The reason for a refusal, and the retry time that the caller is given."""
 
     reason: RefusalReason
     retry_after_seconds: float
--- a/src/onyxspoke/core/admission/view_builder.py
+++ b/src/onyxspoke/core/admission/view_builder.py
@@ -1,4 +1,4 @@
-"""Makes the view of the load from what a holder knows."""
+"""Builds the view of the load from a holder's state."""
 
 from __future__ import annotations
 
@@ -39,9 +39,10 @@
 
 
 class ExpectedRetry(NamedTuple):
-    """Work of a refused job that was told when to come back.
+    """The work of a refused job that is expected to be retried.
 
-    ``due_at`` is then, and ``latest_start_at`` until when it may wait, in the holder's seconds.
+    ``retry_at`` is the time at which the caller should retry, and ``latest_start_at`` the latest
+    time at which the work can start before the job expires, both on the holder's clock.
     """
 
     service: str
@@ -52,16 +53,16 @@
 
 
 class Load(NamedTuple):
-    """What a view is made from.
+    """The state from which a view is built.
 
     Attributes
     ----------
     stop_seconds : float
-        How long a run takes to give way.
+        Time that a run takes to stop when it is preempted.
     arrivals : ArrivalMeter
-        What is taken in lately.
+        Rates of recently admitted work.
     awaited : iterable of ExpectedRetry
-        Of refused jobs that are to come back.
+        Work of refused jobs that are expected to be retried.
     """
 
     steps: list[StepProgress]
@@ -74,49 +75,53 @@
 
 
 class _WaitingStep(NamedTuple):
-    """A step that waits: seconds of work of each task, and of waiting that it can bear."""
+    """A waiting step, with the duration of one task and the time that the step may still wait."""
 
     rank: StepRank
     needs: Needs
-    tasks: int
+    task_count: int
     low_seconds: float
     high_seconds: float
     slack_seconds: float
 
 
-def build_view(load: Load, now: float) -> LoadView:
-    """Return the load as it is now."""
-    builder = _LoadViewBuilder(load, now)
+def build_view(inputs: Load, now: float) -> LoadView:
+    """Return a view of the current load."""
+    builder = _LoadViewBuilder(inputs, now)
     return builder.build()
 
 
 class _LoadViewBuilder:
-    def __init__(self, load: Load, now: float) -> None:
-        self._load = load
+    def __init__(self, inputs: Load, now: float) -> None:
+        self._inputs = inputs
         self._now = now
-        self._expect = _cache_expected(load.durations)
-        self._by_service: dict[str, list[_WaitingStep]] = {}
-        self._by_tenant: dict[TenantName, list[_WaitingStep]] = {}
+        self._expected_duration = _cache_expected(inputs.durations)
+        self._steps_by_service: dict[str, list[_WaitingStep]] = {}
+        self._steps_by_tenant: dict[TenantName, list[_WaitingStep]] = {}
         self._quotas = {
-            name: tenant.quota for name, tenant in load.policy.tenants.items() if any(tenant.quota)
+            name: tenant.quota
+            for name, tenant in inputs.policy.tenants.items()
+            if any(tenant.quota)
         }
 
     def build(self) -> LoadView:
-        for step in self._load.steps:
+        for step in self._inputs.steps:
             self._add_step(step)
-        held = [run for worker in self._load.table.workers.values() for run in worker.runs.values()]
+        held = [
+            run for worker in self._inputs.table.workers.values() for run in worker.runs.values()
+        ]
         quota_pools = self._make_quota_pools(held)
         lanes, free_capacity = self._make_pools()
         return LoadView(self._now, lanes, self._quotas, quota_pools, free_capacity)
 
-    # What waits
+    # Waiting work
 
     def _add_step(self, step: StepProgress) -> None:
         if step.spec.long_running:
             return
         spec = step.job.spec
-        queue = self._load.policy.queue_of(spec)
-        expected = self._expect(spec.queue.name, spec.tenant, step.spec.estimated_ms)
+        queue = self._inputs.policy.queue_of(spec)
+        expected = self._expected_duration(spec.queue.name, spec.tenant, step.spec.estimated_ms)
         placement_rank = step_rank_of(step, queue, self._now)
         rank = rank_ignoring_lateness(placement_rank)
         needs = step.needs
@@ -129,22 +134,22 @@
             rank, needs, len(step.waiting), low_seconds, high_seconds, slack_seconds
         )
         if spec.tenant in self._quotas:
-            self._by_tenant.setdefault(spec.tenant, []).append(waiting_step)
+            self._steps_by_tenant.setdefault(spec.tenant, []).append(waiting_step)
         if step.over_quota_since is not None:
-            # It takes none of the workers' room before its tenant has some of its quota free.
+            # The step holds no worker capacity until its tenant has free quota.
             waiting_step = waiting_step._replace(low_seconds=0.0)
-        self._by_service.setdefault(queue.service, []).append(waiting_step)
+        self._steps_by_service.setdefault(queue.service, []).append(waiting_step)
 
-    # Lanes
+    # Resource pools
 
     def _make_pools(self) -> tuple[dict[str, Lane], dict[str, list[FreeCapacity]]]:
-        by_service: dict[str, list[Worker]] = {}
-        for worker in self._load.table.workers.values():
+        workers_by_service: dict[str, list[Worker]] = {}
+        for worker in self._inputs.table.workers.values():
             if worker.contact is not WorkerContact.OVER and worker.listing is WorkerListing.READY:
-                by_service.setdefault(worker.record.service, []).append(worker)
+                workers_by_service.setdefault(worker.record.service, []).append(worker)
         lanes = {}
         free_capacity = {}
-        for service, workers in by_service.items():
+        for service, workers in workers_by_service.items():
             lane = self._make_pool(service, workers)
             if lane is not None:
                 lanes[service] = lane
@@ -156,35 +161,35 @@
         total = _sum_capacity(settled)
         if not any(total):
             return None
-        works, late_work = _waiting_work(self._by_service.get(service, []), total)
-        for expected_retry in self._load.awaited:
+        waiting_work, late_work = _waiting_work(self._steps_by_service.get(service, []), total)
+        for expected_retry in self._inputs.awaited:
             if expected_retry.service == service:
-                works.append(_retry_work(expected_retry))
+                waiting_work.append(_retry_work(expected_retry))
                 late_work.setdefault(rank_class_of(expected_retry.rank), []).append(
                     self._late_work_of(expected_retry)
                 )
         unsettled = [worker for worker in workers if worker.contact is not WorkerContact.SETTLED]
         return Lane(
             total=total,
-            works=sorted(works, key=itemgetter(0)),
+            waiting_work=sorted(waiting_work, key=itemgetter(0)),
             held=self._held_on(settled, total),
             best_case_capacity_factor=max(1.0, dominant_share(_sum_capacity(workers), total)),
             held_on_unsettled=self._held_on(unsettled, total),
-            stop_seconds=self._load.stop_seconds,
+            stop_seconds=self._inputs.stop_seconds,
             late_work=late_work,
-            arrival_rates=self._load.arrivals.rates(service, self._now),
+            arrival_rates=self._inputs.arrivals.rates(service, self._now),
         )
 
     def _late_work_of(self, expected_retry: ExpectedRetry) -> LateWork:
         return LateWork(
             slack_seconds=expected_retry.latest_start_at - self._now,
-            work=expected_retry.share_seconds,
+            work_share_seconds=expected_retry.share_seconds,
             earliest_start_seconds=expected_retry.retry_at - self._now,
         )
 
     def _free_capacity_of(self, service: str) -> list[FreeCapacity]:
         free_capacity = []
-        for worker in self._load.table.offered(service):
+        for worker in self._inputs.table.offered(service):
             resources = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
             if resources.processors_milli > 0 or not worker.record.capacity.processors_milli:
                 free_capacity.append(FreeCapacity(resources, worker.record.labels))
@@ -199,8 +204,10 @@
                 held.setdefault(tenant, []).append(self._held_capacity(run, self._quotas[tenant]))
         lanes = {}
         for tenant, quota in self._quotas.items():
-            works, _unused = _waiting_work(self._by_tenant.get(tenant, []), quota)
-            lanes[tenant] = Lane(quota, sorted(works, key=itemgetter(0)), held.get(tenant, []))
+            waiting_work, _unused = _waiting_work(self._steps_by_tenant.get(tenant, []), quota)
+            lanes[tenant] = Lane(
+                quota, sorted(waiting_work, key=itemgetter(0)), held.get(tenant, [])
+            )
         return lanes
 
     def _held_on(self, workers: list[Worker], total: Needs) -> list[HeldCapacity]:
@@ -210,7 +217,7 @@
 
     def _held_capacity(self, run: Run, total: Needs) -> HeldCapacity:
         spec = run.task.step.spec
-        queue = self._load.policy.queue_of(run.task.step.job.spec)
+        queue = self._inputs.policy.queue_of(run.task.step.job.spec)
         seconds = self._seconds_left(run)
         is_preemptible = (
             spec.checkpointing and run.gang is None and not spec.long_running and not spec.fills
@@ -220,17 +227,17 @@
         )
 
     def _seconds_left(self, run: Run) -> float:
-        """Return how long a run holds its room.
+        """Return the time in seconds until a run releases its resources.
 
-        Between two reports its progress is out of date; it counts as of when it was told.
+        Progress is reported only from time to time, so it is counted from when it was reported.
         """
         spec = run.task.step.spec
         if run.state is RunState.STOPPING:
-            return max(0.0, run.stop_sent_at + self._load.stop_seconds - self._now)
+            return max(0.0, run.stop_sent_at + self._inputs.stop_seconds - self._now)
         if run.is_resumed or spec.long_running:
             return remaining_seconds(run, self._now)
         job = run.task.step.job.spec
-        duration_seconds = self._expect(
+        duration_seconds = self._expected_duration(
             job.queue.name, job.tenant, spec.estimated_ms
         ).median_seconds
         if not run.confirmed_at:
@@ -241,10 +248,10 @@
 
 
 def rank_ignoring_lateness(rank: StepRank) -> StepRank:
-    """Return the place of what was promised: what is late, and still of use, does not fall back.
+    """Return a step's rank as if it were on time, if it is late; an expired step keeps its rank.
 
-    In the order of placement it does; then every job that is taken would push it further, until
-    it is of no use.
+    The placement order moves late steps behind those on time.  With that order in the view, every
+    admitted job would delay the late steps further, until they expire.
     """
     if rank.lateness is Lateness.LATE:
         return StepRank(
@@ -259,40 +266,40 @@
 
 
 def _retry_work(expected_retry: ExpectedRetry) -> WaitingWork:
-    """Return the work of a job that may not come: at least none, at most all of it."""
+    """Return the work of an expected retry; the lower bound is 0, because it may not come."""
     return WaitingWork(expected_retry.rank, expected_retry.share_seconds, 0.0, 1.0)
 
 
 def _waiting_work(
     steps: list[_WaitingStep], total: Needs
 ) -> tuple[list[WaitingWork], dict[RankClass, list[LateWork]]]:
-    """Return what waits as shares of what there is, and what of it is late."""
-    works = []
+    """Return the work of waiting steps as shares of a total, and the part that is late."""
+    waiting_work = []
     late_work: dict[RankClass, list[LateWork]] = {}
     shares: dict[Needs, float] = {}
-    for rank, needs, tasks, low_seconds, high_seconds, slack_seconds in steps:
+    for rank, needs, task_count, low_seconds, high_seconds, slack_seconds in steps:
         share = shares.get(needs)
         if share is None:
             share = shares[needs] = dominant_share(needs, total)
-        works.append(WaitingWork(rank, share * tasks, low_seconds, high_seconds))
+        waiting_work.append(WaitingWork(rank, share * task_count, low_seconds, high_seconds))
         if slack_seconds < math.inf:
-            work = share * tasks * min(low_seconds, HORIZONS_SECONDS[-1])
+            work = share * task_count * min(low_seconds, HORIZONS_SECONDS[-1])
             late_work.setdefault(rank_class_of(rank), []).append(LateWork(slack_seconds, work))
-    return works, late_work
+    return waiting_work, late_work
 
 
 def _cache_expected(durations: Durations) -> ExpectedDuration:
-    """Return what expects how long tasks take, and asks once about those that are alike."""
+    """Return a function that looks up each expected duration only once."""
     cache: dict[tuple[str, str, int], Expected] = {}
 
-    def expect(queue: str, tenant: str, estimated_ms: int) -> Expected:
+    def expected_duration(queue: str, tenant: str, estimated_ms: int) -> Expected:
         key = (queue, tenant, estimated_ms)
         expected = cache.get(key)
         if expected is None:
             expected = cache[key] = durations.expected(queue, tenant, estimated_ms)
         return expected
 
-    return expect
+    return expected_duration
 
 
 def _sum_capacity(workers: list[Worker]) -> Needs:
--- a/src/onyxspoke/core/admission/waiting_line.py
+++ b/src/onyxspoke/core/admission/waiting_line.py
@@ -1,4 +1,7 @@
-"""What waits, in the order of placement, so that what goes before a place costs a bisection."""
+"""Waiting work in queue order, with sums of the work before each rank.
+
+A lookup costs one bisection.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 
 from onyxspoke.core.placement.queue_order import StepRank
 
-#: How far decisions look ahead, in seconds: each by the first that covers what its caller waits.  A
-#: task that works for longer holds its room for so long before what comes after it.
+#: Limits to which task durations are counted, in seconds.  A decision uses the first limit that
+#: covers the time its caller waits, so that one very long task doesn't delay all work behind it.
 HORIZONS_SECONDS = (2.0, 4.0, 8.0, 16.0, 32.0, 64.0, 128.0)
 
 
 class WaitingWork(NamedTuple):
-    """Work that waits at a place in the line.
+    """Work that waits at a rank of the queue.
 
     Attributes
     ----------
     share : float
-        Of the room, for all of its tasks.
+        Share of the capacity that all of its tasks take together.
     low_seconds, high_seconds : float
-        For how long at least, and at most.
+        Lower and upper bound of the duration.
     """
 
     rank: StepRank
@@ -30,7 +33,7 @@
 
 
 class WorkEstimate(NamedTuple):
-    """Work that goes before a place, in share-seconds, and the mean length of its tasks."""
+    """The lower and upper bound of an amount of work in share-seconds, and a task duration."""
 
     low: float
     high: float
@@ -38,66 +41,66 @@
 
 
 def horizon_for(seconds: float) -> float:
-    """Return how far a decision looks ahead whose caller waits for so long."""
+    """Return the horizon for a decision whose caller waits for so many seconds."""
     return HORIZONS_SECONDS[min(bisect_left(HORIZONS_SECONDS, seconds), len(HORIZONS_SECONDS) - 1)]
 
 
 class WaitingLine:
-    """Work in the order of placement, and what was added since it was sorted.
+    """Waiting work in queue order, and work that was added after it was sorted.
 
     Parameters
     ----------
-    works : list of WaitingWork
-        In order.
-    horizon : float
-        How far it looks ahead, in seconds.
+    waiting_work : list of WaitingWork
+        Work in queue order.
+    horizon_seconds : float
+        Limit to which the duration of each task is counted.
     """
 
-    def __init__(self, works: list[WaitingWork], horizon: float) -> None:
-        self._sorted = _PrefixSums(works, horizon)
-        self._added = _PrefixSums([], horizon)
+    def __init__(self, waiting_work: list[WaitingWork], horizon_seconds: float) -> None:
+        self._initial = _PrefixSums(waiting_work, horizon_seconds)
+        self._added = _PrefixSums([], horizon_seconds)
 
     def add(self, work: WaitingWork) -> None:
-        """Count work that was taken in since."""
+        """Add the work of a job that was admitted later."""
         self._added.insert(work)
 
     def work_before(self, rank: StepRank) -> WorkEstimate:
-        """Return what goes before a place."""
-        low, high, weighted = self._sorted.sums_before(rank)
-        more_low, more_high, more_weighted = self._added.sums_before(rank)
-        low += more_low
-        mean = (weighted + more_weighted) / low if low > 0.0 else 0.0
-        return WorkEstimate(low, high + more_high, mean)
+        """Return the work that goes before a rank, and the mean duration of its tasks."""
+        low, high, weighted_work = self._initial.sums_before(rank)
+        added_low, added_high, added_weighted = self._added.sums_before(rank)
+        low += added_low
+        mean_task_seconds = (weighted_work + added_weighted) / low if low > 0.0 else 0.0
+        return WorkEstimate(low, high + added_high, mean_task_seconds)
 
 
 class _PrefixSums:
-    """Work in order, with sums from its beginning: at least, at most, and weighted by length."""
+    """Work in queue order, with prefix sums of its bounds and of its weighted duration."""
 
-    def __init__(self, works: list[WaitingWork], horizon: float) -> None:
-        self._horizon = horizon
-        self._works = list(works)
-        self._ranks = [work.rank for work in works]
+    def __init__(self, waiting_work: list[WaitingWork], horizon_seconds: float) -> None:
+        self._horizon_seconds = horizon_seconds
+        self._waiting_work = list(waiting_work)
+        self._ranks = [work.rank for work in waiting_work]
         self._sums = [(0.0, 0.0, 0.0)]
-        self._sum_from(0)
+        self._extend_sums(0)
 
     def insert(self, work: WaitingWork) -> None:
-        """Take in more work; most goes to the end."""
+        """Insert work at its rank, which is usually close to the end."""
         index = bisect_right(self._ranks, work.rank)
         self._ranks.insert(index, work.rank)
-        self._works.insert(index, work)
+        self._waiting_work.insert(index, work)
         del self._sums[index + 1 :]
-        self._sum_from(index)
+        self._extend_sums(index)
 
     def sums_before(self, rank: StepRank) -> tuple[float, float, float]:
-        """Return the sums of what goes before a place."""
+        """Return the sums of the work that goes before a rank."""
         return self._sums[bisect_left(self._ranks, rank)]
 
-    def _sum_from(self, index: int) -> None:
-        low, high, weighted = self._sums[index]
-        horizon = self._horizon
-        for _rank, share, low_seconds, high_seconds in self._works[index:]:
-            least_seconds = min(low_seconds, horizon)
+    def _extend_sums(self, index: int) -> None:
+        low, high, weighted_work = self._sums[index]
+        horizon_seconds = self._horizon_seconds
+        for _rank, share, low_seconds, high_seconds in self._waiting_work[index:]:
+            least_seconds = min(low_seconds, horizon_seconds)
             low += share * least_seconds
-            high += share * min(high_seconds, horizon)
-            weighted += share * least_seconds * least_seconds
-            self._sums.append((low, high, weighted))
+            high += share * min(high_seconds, horizon_seconds)
+            weighted_work += share * least_seconds * least_seconds
+            self._sums.append((low, high, weighted_work))
