--- a/features/steps/admission_callers.py
+++ b/features/steps/admission_callers.py
@@ -39,19 +39,21 @@
     """One caller: its job, and what became of it."""
 
     spec: JobSpec
-    first_at: float
+    first_submitted_at: float
     accepted_at: float | None = None
     done_at: float | None = None
     refusals: list[tuple[float, float, str]] = field(default_factory=list)
 
     @property
     def is_on_time(self) -> bool:
-        return self.done_at is not None and self.done_at - self.first_at <= OBJECTIVE_SECONDS
+        return (
+            self.done_at is not None and self.done_at - self.first_submitted_at <= OBJECTIVE_SECONDS
+        )
 
     @property
     def is_of_use(self) -> bool:
         bound = EXPIRY_FACTOR * OBJECTIVE_SECONDS
-        return self.done_at is not None and self.done_at - self.first_at <= bound
+        return self.done_at is not None and self.done_at - self.first_submitted_at <= bound
 
 
 class Arrivals:
@@ -138,7 +140,7 @@
             self._come_back(caller, UNANSWERED_PAUSE_SECONDS)
 
     def _come_back(self, caller: Caller, seconds: float) -> None:
-        gives_up_at = caller.first_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS
+        gives_up_at = caller.first_submitted_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS
         if self.cluster.time.now() + seconds < gives_up_at:
             self.cluster.time.schedule(seconds, partial(self.try_again, caller))
 
--- a/features/steps/admission_entry_steps.py
+++ b/features/steps/admission_entry_steps.py
@@ -9,8 +9,8 @@
 
 from behave import given, then, when
 
-from onyxspoke.core.admission.board import AdmissionBoard
 from onyxspoke.core.admission.summary import AdmissionSummary, QueueNotice
+from onyxspoke.core.admission.summary_cache import AdmissionSummaryCache
 from onyxspoke.core.jobs.model import JobSpec, StepSpec
 from onyxspoke.core.shard.calls import CallReply, ReplyCode, SubmitCall
 from onyxspoke.core.shard.log_records import ShardId
@@ -180,13 +180,13 @@
 
 
 def _knows_closed(context: Any, node: SimulatedNode, shard: ShardId = 0) -> bool:
-    return bool(node.node.board.closed_queues(shard, context.cluster.time.now()))
+    return bool(node.node.summary_cache.closed_queues(shard, context.cluster.time.now()))
 
 
 @when("an entry forgets what it was told")
 def _forget(context: Any) -> None:
     node = context.entry.node
-    node.router._board = node.board = AdmissionBoard(TRUST_SECONDS)
+    node.router._summary_cache = node.summary_cache = AdmissionSummaryCache(TRUST_SECONDS)
 
 
 @when(
@@ -257,12 +257,12 @@
 
     def let_claim() -> None:
         for election in elections:
-            election.rest_until(cluster.time.now())
+            election.defer_claims_until(cluster.time.now())
             # Those who rest look again rarely.
             election._due_at = cluster.time.now()
 
     for election in elections:
-        election.rest_until(math.inf)
+        election.defer_claims_until(math.inf)
     cluster.time.schedule(seconds, let_claim)
     if ended == "killed":
         cluster.kill_node(context.holder.name)
@@ -287,7 +287,7 @@
 
     def closed() -> list[Any]:
         now = cluster.time.now()
-        return [found for node in others for found in node.node.board.closed_queues(0, now)]
+        return [found for node in others for found in node.node.summary_cache.closed_queues(0, now)]
 
     assert len(closed()) == len(others)
     cluster.run(seconds)
--- a/features/steps/admission_failure_steps.py
+++ b/features/steps/admission_failure_steps.py
@@ -23,7 +23,7 @@
 
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 from onyxspoke.core.shard.load_options import LoadOptions
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 from onyxspoke.sim.explore_jobs import play
 from onyxspoke.sim.job_cluster import make_configuration
 
@@ -50,7 +50,7 @@
 
 @given("the whole list of its workers has not come yet")
 def _no_whole_list(context: Any) -> None:
-    patch = mock.patch.object(WorkerRegister, "knows_directory", False)
+    patch = mock.patch.object(WorkerRegistry, "knows_directory", False)
     patch.start()
     context.add_cleanup(patch.stop)
 
@@ -135,8 +135,8 @@
     desk = context.cluster.holder().node.seats[0].scheduler._admission
     flood = {caller.spec.job_id: caller for caller, _seconds in _away_refusals(context)}
     specs = [caller.spec for caller in flood.values() if caller.spec.tenant == "flood"]
-    remembered = [desk.find_refused(spec) for spec in specs]
-    owed = sum(refused is not None and refused.is_owed for refused in remembered)
+    remembered = [desk.find_refused_job(spec) for spec in specs]
+    owed = sum(refused is not None and refused.is_entitled for refused in remembered)
     # 2 seconds of a weight of 4, and what is saved up for one.
     assert len(specs) > 12 >= owed, (len(specs), owed)
 
@@ -149,25 +149,25 @@
     with mock.patch.object(Arrivals, "try_again", lambda *_args: None):
         context.spec = context.arrivals.hand_in("normal").spec
     now = cluster.time.now()
-    desk.refuse_for_store([context.spec], now)
-    context.first_at = desk.find_refused(context.spec).first_at
+    desk.refuse_for_unreachable_store([context.spec], now)
+    context.first_submitted_at = desk.find_refused_job(context.spec).first_submitted_at
     cluster.run(1.0)
     now = cluster.time.now()
     scheduler._calls._submit(-1, context.spec, now)
-    assert desk.find_refused(context.spec) is None
+    assert desk.find_refused_job(context.spec) is None
     scheduler._calls._refuse_unsent(now)
 
 
 @then("its first hand-in is remembered as before")
 def _first_hand_in(context: Any) -> None:
     desk = context.cluster.holder().node.seats[0].scheduler._admission
-    assert desk.find_refused(context.spec).first_at == context.first_at
+    assert desk.find_refused_job(context.spec).first_submitted_at == context.first_submitted_at
 
 
 @then("each of them is told to come back while it can still be of use")
 def _told_in_use(context: Any) -> None:
     refused = [
-        (caller.first_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS - moment, seconds)
+        (caller.first_submitted_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS - moment, seconds)
         for caller in context.arrivals.of()
         for moment, seconds, reason in caller.refusals
         if reason == "store_in_trouble"
--- a/features/steps/admission_holder_steps.py
+++ b/features/steps/admission_holder_steps.py
@@ -8,12 +8,12 @@
 import msgspec
 from behave import given, then, when
 
-from onyxspoke.core.admission.gate import Gate
-from onyxspoke.core.admission.hand_in import HandIn
+from onyxspoke.core.admission.decider import AdmissionDecider
 from onyxspoke.core.admission.load_view import LoadView
-from onyxspoke.core.admission.returns import Returns
+from onyxspoke.core.admission.refused_jobs import RefusedJobs
+from onyxspoke.core.admission.submitted_job import SubmittedJob
 from onyxspoke.core.admission.verdict import RefusalReason, Refuse, VerdictInputs
-from onyxspoke.core.shard import admission_desk
+from onyxspoke.core.shard import admission_controller
 from onyxspoke.core.shard.actions import ReplyToCall
 from onyxspoke.core.shard.calls import ReplyCode, SubmitCall
 
@@ -26,12 +26,12 @@
 def _refuse_all(context: Any) -> None:
     context.arrivals.hand_in("normal")
     context.cluster.run(0.5)
-    patch = mock.patch.object(Gate, "decide", _refuse)
+    patch = mock.patch.object(AdmissionDecider, "decide", _refuse)
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-def _refuse(_gate: Gate, job: HandIn, view: LoadView, now: float) -> Any:
+def _refuse(_gate: AdmissionDecider, job: SubmittedJob, view: LoadView, now: float) -> Any:
     inputs = VerdictInputs(
         start_delay_seconds=0.0,
         advice_seconds=0.0,
@@ -48,12 +48,12 @@
     [caller] = context.arrivals.of()
     scheduler = _scheduler(context)
     now = context.cluster.time.now()
-    book = scheduler.context.book
+    book = scheduler.context.job_registry
     fresh = msgspec.structs.replace(caller.spec, job_id="f" * 16)
     book.submit(fresh, now)
     replies = []
     for spec in (caller.spec, fresh):
-        scheduler.stimulus_call(-1, SubmitCall(spec), now)
+        scheduler.on_call(-1, SubmitCall(spec), now)
         replies += [a.reply for a in scheduler.context.actions if isinstance(a, ReplyToCall)]
         scheduler.context.actions = [
             action for action in scheduler.context.actions if not isinstance(action, ReplyToCall)
@@ -80,7 +80,7 @@
     for name, count in (("d", 1), ("e", times)):
         spec = msgspec.structs.replace(caller.spec, job_id=name * 16, tenant="none")
         for _ in range(count):
-            scheduler.stimulus_call(-1, SubmitCall(spec), context.cluster.time.now())
+            scheduler.on_call(-1, SubmitCall(spec), context.cluster.time.now())
             context.cluster.run(1.0)
     assert (shares.owed_count("none"), shares.beyond_count("none")) == (1, 1)
 
@@ -91,10 +91,10 @@
         raise AssertionError("asked while it is off")
 
     for target in (
-        (Gate, "decide"),
-        (admission_desk, "build_view"),
-        (admission_desk, "describe_hand_in"),
-        (Returns, "refuse"),
+        (AdmissionDecider, "decide"),
+        (admission_controller, "build_load_view"),
+        (admission_controller, "describe_submitted_job"),
+        (RefusedJobs, "refuse"),
     ):
         patch = mock.patch.object(*target, fail)
         patch.start()
--- a/features/steps/admission_rule_steps.py
+++ b/features/steps/admission_rule_steps.py
@@ -13,16 +13,20 @@
 from placement_steps import SERVICE, _Scene
 
 from onyxspoke.core.admission.arrivals import ArrivalMeter
-from onyxspoke.core.admission.closings import MAX_NOTICE_TENANTS, Closings, Scope
-from onyxspoke.core.admission.gate import Gate, closed_seconds
-from onyxspoke.core.admission.hand_in import HandIn, describe_hand_in
+from onyxspoke.core.admission.decider import AdmissionDecider, closed_seconds
+from onyxspoke.core.admission.free_capacity_curve import FreeCapacityCurve
 from onyxspoke.core.admission.load_view import LoadView
-from onyxspoke.core.admission.returns import MAXIMUM_REMEMBERED, Returns, hash_of
-from onyxspoke.core.admission.room_curve import RoomCurve
-from onyxspoke.core.admission.slots import PATIENT_SHARE, WHOLE_SECOND, ServedSeconds
+from onyxspoke.core.admission.load_view_builder import LoadInputs, build_load_view
+from onyxspoke.core.admission.queue_closures import MAX_NOTICE_TENANTS, ClosureScope, QueueClosures
+from onyxspoke.core.admission.refused_jobs import MAX_REFUSED_JOBS, RefusedJobs, job_hash
+from onyxspoke.core.admission.retry_schedule import (
+    NON_URGENT_WORK_PER_SECOND,
+    WORK_PER_SECOND,
+    RetrySchedule,
+)
+from onyxspoke.core.admission.submitted_job import SubmittedJob, describe_submitted_job
 from onyxspoke.core.admission.verdict import Admit, RefusalReason, Refuse
-from onyxspoke.core.admission.view_builder import Load, build_view
-from onyxspoke.core.admission.waiting_line import WaitingLine, WaitingWork
+from onyxspoke.core.admission.waiting_work import WaitingWork, WaitingWorkQueue
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.estimates.expected import Expected
 from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
@@ -67,13 +71,13 @@
 
 def _view(scene: _Scene, policy: PolicySet | None = None) -> LoadView:
     steps = [step for step in scene.steps.values() if step.waiting]
-    load = Load(steps, scene.table, policy or PolicySet(), Durations(), 0.4, ArrivalMeter())
-    return build_view(load, scene.now)
+    load = LoadInputs(steps, scene.table, policy or PolicySet(), Durations(), 0.4, ArrivalMeter())
+    return build_load_view(load, scene.now)
 
 
 def _job(
     scene: _Scene, job: tuple[int, int, int, bool], tenant: str = "", stretch: float = 2.0
-) -> HandIn:
+) -> SubmittedJob:
     tasks, processors, priority, beyond = job
     queue = QueuePolicy(
         name=f"queue-{priority}", service=SERVICE, priority=priority, stretch=stretch
@@ -87,9 +91,9 @@
         payload="",
         steps=(step,),
         tenant=tenant,
-        is_beyond_share=beyond,
+        is_over_share=beyond,
     )
-    return describe_hand_in(spec, queue, Durations(), scene.now)
+    return describe_submitted_job(spec, queue, Durations(), scene.now)
 
 
 @when("jobs are handed in to drawn cells")
@@ -100,7 +104,7 @@
     def check(runs: list[Any], waiting: list[Any], job: tuple[int, int, int, bool]) -> None:
         scene = _make_cell(runs, waiting)
         hand_in = _job(scene, job)
-        verdict = Gate().decide(hand_in, _view(scene), scene.now)
+        verdict = AdmissionDecider().decide(hand_in, _view(scene), scene.now)
         room = sum(
             worker.free_processors // (job[1] * 1_000) for worker in scene.table.workers.values()
         )
@@ -130,7 +134,7 @@
         with_later = _make_cell(urgent_runs + later, waiting)
         without = _make_cell(urgent_runs, [item for item in waiting if item[2] <= 1])
         verdicts = [
-            Gate().decide(_job(scene, job), _view(scene), scene.now)
+            AdmissionDecider().decide(_job(scene, job), _view(scene), scene.now)
             for scene in (with_later, without)
         ]
         context.decided.append([isinstance(verdict, Admit) for verdict in verdicts])
@@ -156,20 +160,20 @@
 
     @drawn(refusals)
     def check(items: list[Any]) -> None:
-        seconds = ServedSeconds()
+        seconds = RetrySchedule()
         now = 100.0
         told: Counter[int] = Counter()
         for work, wait_seconds, is_urgent, pause in items:
             now += pause
-            most = WHOLE_SECOND if is_urgent else PATIENT_SHARE
-            slot = seconds.keep_slot("service", work, wait_seconds, most, now)
+            most = WORK_PER_SECOND if is_urgent else NON_URGENT_WORK_PER_SECOND
+            slot = seconds.reserve_slot("service", work, wait_seconds, most, now)
             if slot is not None:
                 assert slot.retry_seconds >= 1
                 assert slot.retry_seconds + 1e-9 >= wait_seconds
                 assert slot.second == int(now + slot.retry_seconds)
                 told[slot.second] += 1
                 for second, _work in slot.reservations:
-                    context.worst = max(context.worst, seconds.kept_in("service", second))
+                    context.worst = max(context.worst, seconds.reserved_work_in("service", second))
                 context.compared += 1
 
     check()
@@ -178,7 +182,7 @@
 @then("no second is kept for more work than is served in it")
 def _served(context: Any) -> None:
     assert context.compared > 0
-    assert context.worst <= WHOLE_SECOND + 1e-9, context.worst
+    assert context.worst <= WORK_PER_SECOND + 1e-9, context.worst
 
 
 class _CountedRank(StepRank):
@@ -196,7 +200,7 @@
         )
         for number in range(count)
     ]
-    line = WaitingLine(works, 8.0)
+    line = WaitingWorkQueue(works, 8.0)
     _CountedRank.compared = 0
     line.work_before(_CountedRank(False, False, 1, Lateness.ON_TIME, count / 3, 0))
     return _CountedRank.compared
@@ -234,7 +238,7 @@
 def _not_heard(context: Any, processors: int) -> None:
     scene = context.scene
     scene.add_worker("not-heard", processors)
-    scene.table.workers["not-heard"].contact = WorkerContact.UNSETTLED
+    scene.table.workers["not-heard"].contact = WorkerContact.UNRECONCILED
     scene.table.note_availability(scene.now)
 
 
@@ -255,7 +259,9 @@
         for part in parts:
             free -= part / total
         ends = [(1.0 + at, part / total) for at, part in enumerate(parts)]
-        context.free_after.append((RoomCurve(free, ends).seconds_until_free(1.0), len(parts)))
+        context.free_after.append(
+            (FreeCapacityCurve(free, ends).seconds_until_free(1.0), len(parts))
+        )
 
     check()
 
@@ -295,7 +301,7 @@
 def _decide(context: Any, owed: bool, policy: PolicySet | None = None, **traits: Any) -> Any:
     scene = context.scene
     job = _job(scene, traits.pop("job", (1, 1, 1, not owed)), **traits)
-    return Gate().decide(job, _view(scene, policy), scene.now)
+    return AdmissionDecider().decide(job, _view(scene, policy), scene.now)
 
 
 @then('a job of 12 seconds of use, {owed} its tenant, is "{outcome}"')
@@ -324,41 +330,41 @@
 @given("{count:d} refused jobs of which the first comes back")
 def _many_refused(context: Any, count: int) -> None:
     scene = _make_cell([], [])
-    returns = context.returns = Returns()
+    refused_jobs = context.refused_jobs = RefusedJobs()
     job = _job(scene, (1, 1, 1, False))
     for number in range(count):
-        returns.refuse(hash_of("", str(number)), job, 0.01, 1.0, WHOLE_SECOND, scene.now)
+        refused_jobs.refuse(job_hash("", str(number)), job, 0.01, 1.0, WORK_PER_SECOND, scene.now)
     context.now = scene.now
 
 
 @then("no more are remembered than {count:d}, and the first counts as new")
 def _bounded(context: Any, count: int) -> None:
-    assert len(context.returns) == count == MAXIMUM_REMEMBERED
-    assert context.returns.find(hash_of("", "0")) is None
+    assert len(context.refused_jobs) == count == MAX_REFUSED_JOBS
+    assert context.refused_jobs.find(job_hash("", "0")) is None
 
 
 @then("what was kept for those who did not come is free again")
 def _given_back(context: Any) -> None:
-    context.returns.keep(context.now + 300.0)
-    assert context.returns.seconds.kept_work(SERVICE, context.now) == 0.0
-    assert not list(context.returns.awaited(context.now + 300.0))
+    context.refused_jobs.release_missed(context.now + 300.0)
+    assert context.refused_jobs.retry_schedule.reserved_work(SERVICE, context.now) == 0.0
+    assert not list(context.refused_jobs.expected_retries(context.now + 300.0))
 
 
 @given("{count:d} refused jobs of which none comes back")
 def _refused(context: Any, count: int) -> None:
     _many_refused(context, count)
-    context.last_use_at = max(item.last_use_at for item in context.returns._jobs.values())
+    context.expires_at = max(item.expires_at for item in context.refused_jobs._jobs.values())
 
 
 @when("their last use and their seconds are over")
 def _no_use(context: Any) -> None:
-    due_at = max(item.retry_at for item in context.returns._jobs.values())
-    context.returns.keep(max(context.last_use_at, due_at) + 10.0)
+    due_at = max(item.retry_at for item in context.refused_jobs._jobs.values())
+    context.refused_jobs.release_missed(max(context.expires_at, due_at) + 10.0)
 
 
 @then("none of them is remembered")
 def _forgotten(context: Any) -> None:
-    assert len(context.returns) == 0
+    assert len(context.refused_jobs) == 0
 
 
 @given("a cell whose workers stand free")
@@ -369,7 +375,9 @@
 @when("a job of {tasks:d} tasks is refused there")
 def _wide_refused(context: Any, tasks: int) -> None:
     context.wide = _job(context.scene, (tasks, 1, 1, False))
-    context.verdict = Gate().decide(context.wide, _view(context.scene), context.scene.now)
+    context.verdict = AdmissionDecider().decide(
+        context.wide, _view(context.scene), context.scene.now
+    )
     assert isinstance(context.verdict, Refuse)
 
 
@@ -381,7 +389,7 @@
 
 @given("a quota of which half too much is taken, and half ends after 1 and after 2 seconds")
 def _overdrawn(context: Any) -> None:
-    context.curve = RoomCurve(-0.5, [(1.0, 0.5), (2.0, 0.5)])
+    context.curve = FreeCapacityCurve(-0.5, [(1.0, 0.5), (2.0, 0.5)])
 
 
 @then("half of it is free after 2 seconds, and none before")
@@ -393,9 +401,11 @@
 
 @given("a queue that is closed for {count:d} tenants")
 def _closed_for(context: Any, count: int) -> None:
-    context.closings = Closings()
+    context.closings = QueueClosures()
     for number in range(count):
-        context.closings.note_refused(Scope("queue", f"tenant-{number}"), 5.0 + number, 100.0)
+        context.closings.note_refused(
+            ClosureScope("queue", f"tenant-{number}"), 5.0 + number, 100.0
+        )
 
 
 @then("its notice names 20 of them, and closes for as long as each of them is")
@@ -409,5 +419,5 @@
 @then("nothing is closed once the longest is over")
 def _all_over(context: Any) -> None:
     assert context.closings.notices(100.0 + 31.0) == ()
-    assert context.closings.take_opened(100.0 + 31.0)
-    assert context.closings.take_opened(100.0 + 32.0) == []
+    assert context.closings.pop_reopened(100.0 + 31.0)
+    assert context.closings.pop_reopened(100.0 + 32.0) == []
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -17,7 +17,7 @@
 )
 from behave import given, then, when
 
-from onyxspoke.core.shard import admission_desk
+from onyxspoke.core.shard import admission_controller
 from onyxspoke.core.shard.context import ShardContext
 
 
@@ -153,7 +153,7 @@
             try_again(arrivals, caller)
 
     for patch in (
-        mock.patch.object(admission_desk, "closed_seconds", lambda *_args: seconds),
+        mock.patch.object(admission_controller, "closed_seconds", lambda *_args: seconds),
         mock.patch.object(Arrivals, "try_again", reach_holder),
     ):
         patch.start()
--- a/features/steps/admission_summary_steps.py
+++ b/features/steps/admission_summary_steps.py
@@ -12,13 +12,13 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from onyxspoke.core.admission.board import AdmissionBoard
 from onyxspoke.core.admission.summary import (
     AdmissionSummary,
     QueueNotice,
-    bound_summary,
-    size_of_summary,
+    summary_size_bytes,
+    truncate_summary,
 )
+from onyxspoke.core.admission.summary_cache import AdmissionSummaryCache
 from onyxspoke.core.shard.log_records import ClaimRecord, ShardId
 from onyxspoke.net.stream import encode_message
 from onyxspoke.node.admission_news import AdmissionNews
@@ -38,8 +38,8 @@
 
 
 @given("a board that trusts for {seconds:g} seconds")
-def _board(context: Any, seconds: float) -> None:
-    context.board = AdmissionBoard(seconds)
+def _summary_cache(context: Any, seconds: float) -> None:
+    context.summary_cache = AdmissionSummaryCache(seconds)
     context.tenant = ""
 
 
@@ -47,14 +47,14 @@
 def _hears(context: Any, words: str) -> None:
     for part in words.split("; "):
         if part.startswith("claim "):
-            context.board.note_holder(0, int(part.split()[1]))
+            context.summary_cache.note_holder(0, int(part.split()[1]))
         elif part.startswith("asks as "):
             context.tenant = part.split()[2]
         elif part != "nothing":
-            _hear_summary(context.board, _WORDS.fullmatch(part).groupdict())
+            _hear_summary(context.summary_cache, _WORDS.fullmatch(part).groupdict())
 
 
-def _hear_summary(board: AdmissionBoard, words: dict[str, str | None]) -> None:
+def _hear_summary(summary_cache: AdmissionSummaryCache, words: dict[str, str | None]) -> None:
     notices = ()
     if words["queue"]:
         tenants = (words["tenant"],) if words["tenant"] else ()
@@ -63,18 +63,18 @@
     summary = AdmissionSummary(
         token=int(words["token"]), age_seconds=float(words["age"] or 0), notices=notices
     )
-    board.take(1 if words["other"] else 0, summary, float(words["at"]))
+    summary_cache.update(1 if words["other"] else 0, summary, float(words["at"]))
 
 
 @then('at {now:g} seconds a job of "{queue}" is let through')
 def _let_through(context: Any, now: float, queue: str) -> None:
-    assert context.board.decide(0, queue, context.tenant, JOB, now) is None
+    assert context.summary_cache.decide(0, queue, context.tenant, JOB, now) is None
 
 
 @then('at {now:g} seconds a job of "{queue}" is refused for {seconds:g}')
 def _refused_for(context: Any, now: float, queue: str, seconds: float) -> None:
     told = [
-        context.board.decide(0, queue, context.tenant, f"{number:016x}", now)
+        context.summary_cache.decide(0, queue, context.tenant, f"{number:016x}", now)
         for number in range(200)
     ]
     assert min(told) >= seconds
@@ -97,14 +97,16 @@
     @settings(max_examples=300, derandomize=True, deadline=None)
     @for_all(_words)
     def check(words: list[tuple[str, int, float, float, float]]) -> None:
-        board = AdmissionBoard(TRUST_SECONDS)
+        summary_cache = AdmissionSummaryCache(TRUST_SECONDS)
         for kind, token, at, age, closed in sorted(words, key=lambda word: word[2]):
             if kind == "claim":
-                board.note_holder(0, token)
+                summary_cache.note_holder(0, token)
             else:
                 notice = QueueNotice(queue="normal", closed_seconds=closed)
-                board.take(0, AdmissionSummary(token=token, age_seconds=age, notices=(notice,)), at)
-        told = board.decide(0, "normal", "", JOB, 10.0)
+                summary_cache.update(
+                    0, AdmissionSummary(token=token, age_seconds=age, notices=(notice,)), at
+                )
+        told = summary_cache.decide(0, "normal", "", JOB, 10.0)
         rest = _newest_rest(words)
         assert (told is None) == (rest is None), (told, rest)
         assert told is None or rest <= told <= rest + max(1.0, rest)
@@ -155,7 +157,7 @@
     tag="Status",
 )
 _FIELDS: dict[str, Any] = {
-    "claims": [(0, ClaimRecord(life="a.1", host="a", port=1, token=7))],
+    "claims": [(0, ClaimRecord(incarnation="a.1", host="a", port=1, token=7))],
     "shard_count": 1,
     "interval_seconds": 0.2,
     "configuration_version": 3,
@@ -224,7 +226,7 @@
             link.heartbeat_due_at = now + schedule.interval(True, is_successor=False)
             summaries = news.take_for(link, now)
             if summaries:
-                size = sum(size_of_summary(summary) for _shard, summary in summaries)
+                size = sum(summary_size_bytes(summary) for _shard, summary in summaries)
                 context.told.append((now, link, size))
 
 
@@ -240,7 +242,7 @@
 @then("each summary has {most:d} bytes at most")
 def _summary_bytes(context: Any, most: int) -> None:
     assert max(size for _now, _link, size in context.told) <= most
-    kept = bound_summary(context.summary)
+    kept = truncate_summary(context.summary)
     assert kept.notices == context.summary.notices[: len(kept.notices)]
 
 
@@ -272,8 +274,8 @@
     @settings(max_examples=200, derandomize=True, deadline=None)
     @for_all(_notices, st.integers(64, 1_024))
     def check(notices: tuple[QueueNotice, ...], most: int) -> None:
-        cut = bound_summary(AdmissionSummary(token=7, notices=notices), most)
-        assert size_of_summary(cut) <= most
+        cut = truncate_summary(AdmissionSummary(token=7, notices=notices), most)
+        assert summary_size_bytes(cut) <= most
         left_out = list(notices)
         for notice in cut.notices:
             left_out.remove(notice)
@@ -281,7 +283,7 @@
             longer = [kept for kept in cut.notices if kept.closed_seconds >= notice.closed_seconds]
             whole = AdmissionSummary(token=7, notices=(*longer, notice))
             # The head of the array is counted at its longest.
-            assert size_of_summary(whole) + 4 > most
+            assert summary_size_bytes(whole) + 4 > most
 
     context.check = check
 
--- a/features/steps/advice_cell.py
+++ b/features/steps/advice_cell.py
@@ -12,8 +12,8 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.jobs.states import JobState, RunState, TaskState
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_line import AdviceCall
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_queue import AdviceCall
 from onyxspoke.core.placement.placer import Placer
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerRecord
@@ -75,15 +75,15 @@
         kinds: dict[str, Kind] = INSTITUTE,
         capacity: Needs = SMALL_WORKER,
         validity_ms: float = 1_500.0,
-        has_shares: bool = False,
+        uses_fair_shares: bool = False,
     ) -> None:
         self.kinds = kinds
         self.validity_ms = validity_ms
         self.now = 100.0
         self.random = random.Random(workers)
         self.table = WorkerTable()
-        self.desk = AdviceDesk(0, has_shares)
-        self.placer = Placer(self.table, self.desk, stop_seconds=0.9)
+        self.advice_dispatcher = AdviceDispatcher(0, uses_fair_shares)
+        self.placer = Placer(self.table, self.advice_dispatcher, stop_seconds=0.9)
         self.steps: dict[str, StepProgress] = {}
         self.handed_in: dict[str, list[tuple[str, float]]] = {}
         self.begun: dict[str, float] = {}
@@ -101,7 +101,7 @@
         self.entries = [f"entry-{number:02}" for number in range(entries)]
         self._later: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
-        self.desk.set_advisors(self.entries, self.now)
+        self.advice_dispatcher.set_advice_entries(self.entries, self.now)
         for number in range(workers):
             record = WorkerRecord(
                 worker_id=f"w{number:03}",
@@ -112,7 +112,7 @@
                 capacity=capacity,
             )
             worker = Worker(record, 0.0)
-            worker.move_to(WorkerContact.SETTLED)
+            worker.move_to(WorkerContact.RECONCILED)
             worker.is_recorded = True
             self.table.workers[record.worker_id] = worker
 
@@ -120,7 +120,7 @@
         self._count += 1
         heapq.heappush(self._later, (self.now + seconds, self._count, function))
 
-    def hand_in(self, kind: str, is_beyond_share: bool = False) -> StepProgress:
+    def hand_in(self, kind: str, is_over_share: bool = False) -> StepProgress:
         traits = self.kinds[kind]
         queue = QueuePolicy(
             name=kind,
@@ -137,10 +137,10 @@
             estimated_ms=int(traits.seconds * 1_000),
             gang=kind == "gang",
         )
-        group = f"flood {kind}" if is_beyond_share else kind
+        group = f"flood {kind}" if is_over_share else kind
         name = f"{group}-{len(self.handed_in.setdefault(group, []))}"
         job_spec = JobSpec(
-            job_id=name, queue=queue, payload="", steps=(spec,), is_beyond_share=is_beyond_share
+            job_id=name, queue=queue, payload="", steps=(spec,), is_over_share=is_over_share
         )
         job = JobProgress(job_spec, self.now)
         job.committed_state = JobState.QUEUED
@@ -171,7 +171,7 @@
 
     def _make_pass(self) -> None:
         waiting = [step for step in self.steps.values() if step.waiting]
-        for key in self.desk.take_due_retries(self.now):
+        for key in self.advice_dispatcher.take_due_retries(self.now):
             self.placer.reconsider(key)
         quotas = no_quotas()
         for plan in self.placer.plan(waiting, PolicySet(), quotas, self.now):
@@ -179,7 +179,7 @@
             self.begun.setdefault(name, self.now)
             for placement in plan.placements:
                 self._start(plan.step, placement.task.index, placement.worker)
-        for call in self.desk.dispatch(self.now):
+        for call in self.advice_dispatcher.dispatch(self.now):
             self._carry(call)
 
     def _start(self, step: StepProgress, index: int, worker: Worker) -> None:
@@ -197,7 +197,7 @@
             worker.remove(run)
             task.run = None
             task.move_to(TaskState.DONE)
-            self.table.note_gain(worker)
+            self.table.note_capacity_gain(worker)
             if step.is_done:
                 self.done[step.job.job_id] = self.now
 
@@ -207,24 +207,24 @@
         """Have an entry's call answered when those before it have been."""
         kind = call.queue
         self.calls.append(call)
-        self.sent.append((self.now, call.step.name, call.worker_ids, call.advisor))
-        self.carried.setdefault(kind, set()).add(call.advisor)
-        if self.now < self.cut_until.get(call.advisor, 0.0):
+        self.sent.append((self.now, call.step.name, call.worker_ids, call.entry_name))
+        self.carried.setdefault(kind, set()).add(call.entry_name)
+        if self.now < self.cut_until.get(call.entry_name, 0.0):
             return
-        begins = max(self.busy_until.get(call.advisor, 0.0), self.now)
-        self.busy_until[call.advisor] = ends = begins + call.seconds * self.slow.get(
-            call.advisor, 1.0
+        begins = max(self.busy_until.get(call.entry_name, 0.0), self.now)
+        self.busy_until[call.entry_name] = ends = begins + call.seconds * self.slow.get(
+            call.entry_name, 1.0
         )
         good = [name for name in call.worker_ids if self.is_good(call.step, name, kind)]
         tickets = [Ticket(name, "leave") for name in good]
-        call_id, job_id, advisor = call.call_id, call.step.job_id, call.advisor
+        call_id, job_id, entry_name = call.call_id, call.step.job_id, call.entry_name
         result = AdviceResult(AdviceOutcome.ANSWERED, tickets, self.validity_ms)
 
         def answer() -> None:
-            if self.now < self.cut_until.get(advisor, 0.0):
+            if self.now < self.cut_until.get(entry_name, 0.0):
                 return
             self.advised.setdefault(job_id, self.now)
-            step = self.desk.handle_result(call_id, result, self.now)
+            step = self.advice_dispatcher.handle_result(call_id, result, self.now)
             if step is not None:
                 self.placer.reconsider(step)
 
--- a/features/steps/advice_failure_steps.py
+++ b/features/steps/advice_failure_steps.py
@@ -14,10 +14,10 @@
 
 from onyxspoke.core.estimates.work import WorkModel
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import length_of
-from onyxspoke.core.placement.queue_order import StepRank, step_rank_of
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_queue import AdviceCall
+from onyxspoke.core.placement.entry_partition import length_of
+from onyxspoke.core.placement.queue_order import StepRank, step_rank_in_queue
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
 
 BEGIN = 100.0
@@ -40,10 +40,10 @@
 class _Desk:
     """A desk, its steps, and the entries' side of its calls."""
 
-    def __init__(self, entries: int, has_shares: bool) -> None:
+    def __init__(self, entries: int, uses_fair_shares: bool) -> None:
         self.now = BEGIN
-        self.desk = AdviceDesk(0, has_shares)
-        self.desk.set_advisors(_ENTRIES[:entries], self.now)
+        self.desk = AdviceDispatcher(0, uses_fair_shares)
+        self.desk.set_advice_entries(_ENTRIES[:entries], self.now)
         self.cell = Cell(1, 1, REPAIR)
         self.out: list[AdviceCall] = []
         self.sent: list[tuple[int, str]] = []
@@ -63,15 +63,15 @@
         return policy.call_seconds(workers)
 
     def rank(self, step: StepProgress) -> StepRank:
-        return step_rank_of(step, step.job.spec.queue, self.now)
+        return step_rank_in_queue(step, step.job.spec.queue, self.now)
 
     def make_pass(self, seconds: float) -> list[AdviceCall]:
         self.now += seconds
         started = self.desk.dispatch(self.now)
         self.out += started
         self.calls += started
-        self.sent += [(call.call_id, call.advisor) for call in started]
-        self.notices += self.desk.take_notices(self.now)
+        self.sent += [(call.call_id, call.entry_name) for call in started]
+        self.notices += self.desk.take_log_events(self.now)
         return started
 
     def answer(self, call: AdviceCall, call_id: int, outcome: AdviceOutcome) -> None:
@@ -79,7 +79,7 @@
         result = AdviceResult(outcome, tickets, 2_000.0)
         if self.desk.handle_result(call_id, result, self.now) is not None:
             self.answered.setdefault(call.step.job_id, self.now)
-        self.notices += self.desk.take_notices(self.now)
+        self.notices += self.desk.take_log_events(self.now)
 
     def play(self, seconds: float, silent: str = "", outcome: str = "") -> None:
         """Have entries answer as the service does, but for one that does not, or is busy."""
@@ -88,14 +88,16 @@
         end = self.now + seconds
         while self.now < end:
             for call in self.make_pass(0.02):
-                if call.advisor == silent and not outcome:
+                if call.entry_name == silent and not outcome:
                     continue
-                free_at[call.advisor] = max(free_at.get(call.advisor, 0.0), self.now) + call.seconds
-                is_busy = call.advisor == silent
-                due.append((self.now if is_busy else free_at[call.advisor], call.call_id, call))
+                free_at[call.entry_name] = (
+                    max(free_at.get(call.entry_name, 0.0), self.now) + call.seconds
+                )
+                is_busy = call.entry_name == silent
+                due.append((self.now if is_busy else free_at[call.entry_name], call.call_id, call))
             for item in [item for item in due if item[0] <= self.now]:
                 due.remove(item)
-                is_busy = item[2].advisor == silent
+                is_busy = item[2].entry_name == silent
                 self.answer(item[2], item[1], AdviceOutcome(outcome if is_busy else "answered"))
 
 
@@ -121,7 +123,7 @@
     @for_all(_histories)
     def play(history: list[Any]) -> None:
         desk, plain = _Desk(6, False), naive_advice.NaiveDesk()
-        plain.set_advisors(_ENTRIES, desk.now)
+        plain.set_advice_entries(_ENTRIES, desk.now)
         steps = [step for step in _steps_of(desk) if not step.spec.gang] * 2
         for operation, *values in history:
             if operation == "want":
@@ -135,8 +137,8 @@
                 context.compared += len(desk.sent) - sent
             elif operation == "advisors":
                 names = _ENTRIES[: values[0]] if values[1] else _ENTRIES[-values[0] :]
-                desk.desk.set_advisors(names, desk.now)
-                plain.set_advisors(names, desk.now)
+                desk.desk.set_advice_entries(names, desk.now)
+                plain.set_advice_entries(names, desk.now)
             elif operation in ("answer", "fail") and desk.out:
                 call = desk.out.pop(values[0] % len(desk.out))
                 is_answer = operation == "answer"
@@ -154,13 +156,13 @@
 def _check_pass(desk: _Desk, started: list[AdviceCall]) -> None:
     out = list(desk.desk._under_way.values())
     for name in _ENTRIES:
-        assert sum(call.advisor == name for call in out) <= 2
+        assert sum(call.entry_name == name for call in out) <= 2
     for call in started:
         assert call.progress.waiting, call
         assert call.progress.over_quota_since is None
         for other in desk.desk._line:
             is_alike = length_of(other.seconds) is length_of(call.seconds)
-            if is_alike and other.seconds >= call.seconds and other.rank.is_owed:
+            if is_alike and other.seconds >= call.seconds and other.rank.is_entitled:
                 assert (call.rank, call.number) < (other.rank, other.number)
     for key, advice in desk.desk._steps.items():
         numbers = [call.number for call in (*out, *desk.desk._line) if call.step == key]
@@ -187,14 +189,14 @@
                 context.checked += len(started)
             elif operation == "advisors":
                 names = _ENTRIES[: values[0]] if values[1] else _ENTRIES[-values[0] :]
-                desk.desk.set_advisors(names, desk.now)
+                desk.desk.set_advice_entries(names, desk.now)
             elif operation == "placed":
                 _place(steps[values[0]])
             elif desk.out:
                 call = desk.out.pop(values[0] % len(desk.out))
                 outcome = AdviceOutcome("answered" if operation == "answer" else "busy")
                 desk.answer(call, call.call_id, outcome)
-        wanted = [call.progress for call in desk.desk._line if call.rank.is_owed]
+        wanted = [call.progress for call in desk.desk._line if call.rank.is_entitled]
         desk.answered.clear()
         desk.play(20.0)
         for step in wanted:
@@ -233,17 +235,17 @@
     desk.want(context.step, 25)
     [context.call] = desk.make_pass(0.0)
     context.call_id = context.call.call_id
-    assert context.call.advisor == _ENTRIES[0]
+    assert context.call.entry_name == _ENTRIES[0]
 
 
 @when("entry {number:d} is gone")
 def _gone(context: Any, number: int) -> None:
     desk = context.desk
     name = _ENTRIES[number - 1]
-    context.lost = [call.step for call in desk.out if call.advisor == name]
+    context.lost = [call.step for call in desk.out if call.entry_name == name]
     context.load = desk.desk._entries.places.owed_load(length_of(0.2), desk.now)
-    desk.desk.set_advisors([entry for entry in _ENTRIES[:4] if entry != name], desk.now)
-    assert desk.desk.has_moved_calls
+    desk.desk.set_advice_entries([entry for entry in _ENTRIES[:4] if entry != name], desk.now)
+    assert desk.desk.has_requeued_calls
 
 
 @then("the next calls are those that were out with it, at once and without a second charge")
@@ -262,17 +264,17 @@
 def _late(context: Any, late: float) -> None:
     desk = context.desk
     desk.now += context.call.seconds + late
-    desk.desk.set_advisors([], desk.now - 0.01)
-    desk.desk.set_advisors(_ENTRIES[:4], desk.now - 0.01)
+    desk.desk.set_advice_entries([], desk.now - 0.01)
+    desk.desk.set_advice_entries(_ENTRIES[:4], desk.now - 0.01)
     desk.answer(context.call, context.call_id, AdviceOutcome.ANSWERED)
 
 
 @then("the step has its tickets, and no further call is made")
 def _has_tickets(context: Any) -> None:
     desk = context.desk
-    advice = desk.desk.advice_on(context.step)
+    advice = desk.desk.advice_for(context.step)
     assert advice.tickets
-    assert not advice.is_asking
+    assert not advice.has_open_calls
     assert desk.make_pass(0.02) == []
 
 
@@ -282,7 +284,7 @@
     step = desk.step("urgent")
     desk.want(step, 25)
     [call] = desk.make_pass(0.0)
-    call_id, name = call.call_id, call.advisor
+    call_id, name = call.call_id, call.entry_name
     desk.make_pass(0.98)
     desk.make_pass(0.02)
     desk.answer(call, call_id, AdviceOutcome.ANSWERED)
@@ -419,7 +421,7 @@
 @then("the step still has the call that it wanted last, and no further one is made")
 def _has_last(context: Any) -> None:
     desk = context.desk
-    assert desk.desk.advice_on(context.step).is_asking
+    assert desk.desk.advice_for(context.step).has_open_calls
     desk.want(context.step, 25)
     desk.make_pass(0.02)
     assert desk.desk._last_call_id == context.call_id
--- a/features/steps/advice_full_cell_steps.py
+++ b/features/steps/advice_full_cell_steps.py
@@ -10,7 +10,7 @@
 
 @given("a full repair cell of {workers:d} workers with shares")
 def _full_cell(context: Any, workers: int) -> None:
-    context.cell = cell = Cell(workers, 4, REPAIR, LARGE_WORKER, 2_000.0, has_shares=True)
+    context.cell = cell = Cell(workers, 4, REPAIR, LARGE_WORKER, 2_000.0, uses_fair_shares=True)
     for _number in range(workers):
         cell.hand_in("patient")
     cell.run(0.8)
@@ -19,9 +19,9 @@
 @when("{flood:d} patient jobs beyond a tenant's share and then {owed:d} owed one are handed in")
 def _hand_in_both(context: Any, flood: int, owed: int) -> None:
     cell = context.cell
-    context.flood = [cell.hand_in("patient", is_beyond_share=True).job for _number in range(flood)]
+    context.flood = [cell.hand_in("patient", is_over_share=True).job for _number in range(flood)]
     [context.owed] = [cell.hand_in("patient").job for _number in range(owed)]
-    cell.desk.take_notices(cell.now)
+    cell.advice_dispatcher.take_log_events(cell.now)
     cell.run(0.3)
 
 
@@ -30,7 +30,11 @@
     cell = context.cell
     asked = {call.step.job_id for call in cell.calls}
     assert not asked & {job.job_id for job in context.flood}
-    told = [item for item in cell.desk.take_notices(cell.now) if item.event == "advice_put_off"]
+    told = [
+        item
+        for item in cell.advice_dispatcher.take_log_events(cell.now)
+        if item.event == "advice_put_off"
+    ]
     named = {str(item.fields["step"]).partition(".")[0] for item in told}
     assert {job.job_id for job in context.flood} <= named, named
 
@@ -64,7 +68,7 @@
 def _to_both(context: Any, count: int) -> None:
     for cell, flood in zip(context.cells, (count, 0), strict=True):
         for _number in range(flood):
-            cell.hand_in("patient", is_beyond_share=True)
+            cell.hand_in("patient", is_over_share=True)
         context.owed = cell.hand_in("patient").job
         cell.run(30.0)
 
--- a/features/steps/advice_line_steps.py
+++ b/features/steps/advice_line_steps.py
@@ -8,7 +8,7 @@
 from advice_cell import LARGE_WORKER, REPAIR, Cell, Kind
 from behave import given, then, when
 
-from onyxspoke.core.placement.advice_choice import AdviceChooser
+from onyxspoke.core.placement.advice_targets import AdviceTargetSelector
 
 NEARLY_ALL = 0.95
 #: Jobs a second on a usual day of the repair cell.
@@ -23,7 +23,7 @@
     context.cell = Cell(workers, entries)
 
 
-def _first_by_name(chooser: AdviceChooser, _most: int, advice: Any) -> list[str]:
+def _first_by_name(chooser: AdviceTargetSelector, _most: int, advice: Any) -> list[str]:
     return sorted(worker.worker_id for worker in chooser._not_asked(advice))[:100]
 
 
@@ -44,7 +44,7 @@
     " asking about the first hundred by name"
 )
 def _play_by_name(context: Any, gangs: int, steps: int, kind: str, seconds: int) -> None:
-    with mock.patch.object(AdviceChooser, "unknown", _first_by_name):
+    with mock.patch.object(AdviceTargetSelector, "unknown", _first_by_name):
         _play(context, gangs, steps, kind, seconds)
 
 
@@ -76,8 +76,8 @@
 )
 def _repair_cells(context: Any, workers: int, entries: int) -> None:
     context.plain, context.cell = (
-        Cell(workers, entries, REPAIR, LARGE_WORKER, 2_000.0, has_shares)
-        for has_shares in (False, True)
+        Cell(workers, entries, REPAIR, LARGE_WORKER, 2_000.0, uses_fair_shares)
+        for uses_fair_shares in (False, True)
     )
 
 
@@ -202,16 +202,16 @@
 def _play_foretold(context: Any, urgent: int, patient: int, gang: int, seconds: int) -> None:
     cell = context.cell
     foretold: dict[Any, tuple[float, float]] = {}
-    want = cell.desk.want
+    want = cell.advice_dispatcher.want
 
     def foretell(step: Any, policy: Any, workers: Any, rank: Any, now: float) -> None:
         if step.key not in foretold:
             count = min(len(workers), GANG_BATCH)
-            wait = cell.desk.wait_seconds(policy.call_seconds(count), rank, now)
+            wait = cell.advice_dispatcher.wait_seconds(policy.call_seconds(count), rank, now)
             foretold[step.key] = (wait, now)
         want(step, policy, workers, rank, now)
 
-    with mock.patch.object(cell.desk, "want", foretell):
+    with mock.patch.object(cell.advice_dispatcher, "want", foretell):
         for kind, rate in (("urgent", urgent), ("patient", patient), ("gang", gang)):
             cell.hand_in_evenly(kind, float(rate), 0.0, float(seconds))
         cell.run(seconds + AFTERMATH_SECONDS)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -12,7 +12,7 @@
 from onyxspoke.core.jobs.model import JobId, JobSpec, Needs, QueuePolicy, StepSpec, TaskKey
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.jobs.states import RunState
-from onyxspoke.core.placement.blame import EndOfLife, blame_runs, has_crashed
+from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerListing, WorkerRecord
 from onyxspoke.core.placement.workers import Worker
@@ -193,8 +193,8 @@
     "gone": WorkerListing.GONE,
 }
 SIGNS = {
-    "another life answers": EndOfLife.OTHER_LIFE,
-    "its lease is over": EndOfLife.LEASE_OVER,
+    "another life answers": IncarnationEndReason.OTHER_INCARNATION,
+    "its lease is over": IncarnationEndReason.LEASE_EXPIRED,
 }
 
 
@@ -202,14 +202,14 @@
     record = WorkerRecord(
         worker_id="w1", host="10.9.0.1", port=8_000, service="s", zone="z", capacity=Needs(64_000)
     )
-    return Worker(record, unsettled_until=0.0)
+    return Worker(record, previous_lease_expires_at=0.0)
 
 
 @given("a worker that was {last} when it was last heard of, and is {listed}")
 def _worker(context: Any, last: str, listed: str) -> None:
     worker = context.worker = _make_worker()
     worker.listing = LISTINGS[last]
-    worker.note_heard(100.0)
+    worker.note_answer(100.0)
     worker.listing = LISTINGS[listed]
 
 
@@ -232,7 +232,7 @@
 @given("a worker that was last heard of at second {second:g}")
 def _heard(context: Any, second: float) -> None:
     context.worker = _make_worker()
-    context.worker.note_heard(second)
+    context.worker.note_answer(second)
 
 
 @given("runs on it that were ordered at {moments}")
--- a/features/steps/election_steps.py
+++ b/features/steps/election_steps.py
@@ -8,10 +8,10 @@
 
 from onyxspoke.core.shard.election import Election
 from onyxspoke.core.shard.election_actions import (
+    ConnectionLossReason,
     ConnectToHolder,
     ElectionState,
     HolderChanged,
-    LossReason,
     NodeIdentity,
     ReadClaim,
     SendClaim,
@@ -19,15 +19,15 @@
 from onyxspoke.core.shard.log_records import ClaimRecord
 from onyxspoke.sim.job_cluster import ClusterOptions, JobCluster
 
-OWN = NodeIdentity(life="own.1", host="own", port=1)
-HOLDER = NodeIdentity(life="holder.1", host="holder", port=1)
-OTHER = NodeIdentity(life="other.1", host="other", port=1)
+OWN = NodeIdentity(incarnation="own.1", host="own", port=1)
+HOLDER = NodeIdentity(incarnation="holder.1", host="holder", port=1)
+OTHER = NodeIdentity(incarnation="other.1", host="other", port=1)
 END = 100
 TICK_SECONDS = 0.02
 
 
 def _claim_of(node: NodeIdentity, token: int) -> ClaimRecord:
-    return ClaimRecord(life=node.life, host=node.host, port=node.port, token=token)
+    return ClaimRecord(incarnation=node.incarnation, host=node.host, port=node.port, token=token)
 
 
 @given("a follower that comes {place:d}th among those who could take over")
@@ -38,7 +38,7 @@
     election.handle_claim_read(True, _claim_of(HOLDER, 7), END, context.now)
     election.handle_peer_status(HOLDER, _claim_of(HOLDER, 7), context.now)
     earlier = [NodeIdentity(f"a{number:04}", f"a{number}", 1) for number in range(place - 1)]
-    election.set_members([*earlier, OWN])
+    election.set_successors([*earlier, OWN])
     assert election.state is ElectionState.FOLLOWING
     context.actions = election.take_actions()
 
@@ -127,7 +127,7 @@
 @then("it follows that node")
 def _follows(context: Any) -> None:
     assert context.election.state is ElectionState.FOLLOWING
-    assert context.election.claim.life == context.expected.life
+    assert context.election.claim.incarnation == context.expected.incarnation
 
 
 @then("calls go to that node from now on")
@@ -135,7 +135,7 @@
     changes = [item for item in context.actions if isinstance(item, HolderChanged)]
     assert changes
     assert changes[-1].claim is not None
-    assert changes[-1].claim.life == context.expected.life
+    assert changes[-1].claim.incarnation == context.expected.incarnation
 
 
 @given("a cluster of {count:d} nodes")
@@ -170,7 +170,7 @@
     election.start(context.now)
     election.handle_claim_read(True, _claim_of(HOLDER, 7), END, context.now)
     election.handle_peer_status(HOLDER, _claim_of(HOLDER, 7), context.now)
-    election.handle_peer_lost(HOLDER.host, LossReason.REFUSED, context.now)
+    election.handle_peer_lost(HOLDER.host, ConnectionLossReason.REFUSED, context.now)
     context.actions = []
 
 
--- a/features/steps/estimates_decision_steps.py
+++ b/features/steps/estimates_decision_steps.py
@@ -94,7 +94,7 @@
         for name, worker in scene.table.workers.items():
             for key in worker.runs.keys() - before[name]:
                 self._begin(worker.runs[key])
-        for eviction in scene.placer.take_evictions():
+        for eviction in scene.placer.take_preemption_requests():
             for run in eviction.preemption.runs:
                 if run not in self.runs:
                     continue
@@ -125,7 +125,7 @@
         percent = min(100, int(100 * self.runs[run] / whole))
         if percent // 10 != run.percent // 10 and percent < 100:
             run.percent = percent
-            run.moved_at = run.listed_at = self.scene.now
+            run.progressed_at = run.listed_at = self.scene.now
             self.durations.note_progress(run, self.scene.now)
         if self.runs[run] >= whole + self.lag - 1e-9:
             self.durations.note_end(run, RunEnd.DONE, self.scene.now)
@@ -137,7 +137,7 @@
         run.move_to(RunState.ENDED)
         run.worker.remove(run)
         run.task.run = None
-        self.scene.table.note_gain(run.worker)
+        self.scene.table.note_capacity_gain(run.worker)
 
 
 @when("{count:d} random histories of sound work are played with learning and without")
--- a/features/steps/estimates_shop.py
+++ b/features/steps/estimates_shop.py
@@ -15,9 +15,9 @@
 from onyxspoke.core.placement.runs import GangRun, Run
 from onyxspoke.core.placement.worker_record import WorkerRecord
 from onyxspoke.core.placement.workers import Worker
-from onyxspoke.core.shard.actions import Decision
+from onyxspoke.core.shard.actions import DecisionLogLine
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
-from onyxspoke.core.shard.estimates_keeper import EstimatesKeeper
+from onyxspoke.core.shard.estimates_manager import EstimatesManager
 from onyxspoke.core.shard.load_options import LoadOptions
 
 TICK_SECONDS = 0.05
@@ -35,7 +35,7 @@
     def __init__(self, learns: bool = True) -> None:
         load = LoadOptions(learned_estimates=learns)
         self.context = ShardContext(ShardOptions(load=load), 1)
-        self.keeper = EstimatesKeeper(self.context)
+        self.keeper = EstimatesManager(self.context)
         self.now = 100.0
         self.random = random.Random(7)
         self.workers: dict[str, Worker] = {}
@@ -45,7 +45,7 @@
         self.failing = 0
         self.runs: dict[Run, float] = {}
         self.ended: list[Run] = []
-        self.told: list[Decision] = []
+        self.told: list[DecisionLogLine] = []
         self.most_told = 0
         self.count = 0
         self._looked_at = 0.0
@@ -123,7 +123,7 @@
 
     def keep(self) -> None:
         self.keeper.keep(self.now)
-        told = [item for item in self.context.actions if isinstance(item, Decision)]
+        told = [item for item in self.context.actions if isinstance(item, DecisionLogLine)]
         self.told += told
         self.most_told = max(self.most_told, len(told))
         self.context.actions.clear()
@@ -153,7 +153,7 @@
         run.listed_at = self.now
         if percent != run.percent:
             run.percent = percent
-            run.moved_at = self.now
+            run.progressed_at = self.now
             self.durations.note_progress(run, self.now)
 
     def drain(self) -> None:
--- a/features/steps/estimates_steps.py
+++ b/features/steps/estimates_steps.py
@@ -23,9 +23,9 @@
 from onyxspoke.core.jobs.model import JobSpec
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.jobs.states import JobState
-from onyxspoke.core.placement.queue_order import step_rank_of
+from onyxspoke.core.placement.queue_order import step_rank_in_queue
 from onyxspoke.core.placement.runs import Run, is_stalled
-from onyxspoke.core.shard.estimates_keeper import restore_estimates_record
+from onyxspoke.core.shard.estimates_manager import restore_estimates_record
 from onyxspoke.core.shard.log_records import ESTIMATES_KEY, ShardRecord
 from onyxspoke.platform.ingress import decode_job
 
@@ -171,7 +171,7 @@
         shop.start(tasks, seconds, **how)
         shop.pass_time(0.5)
         if case == "beside a pause of the holder":
-            shop.context.paused_until = shop.now
+            shop.context.stall_ended_at = shop.now
         shop.pass_time(0.5)
         if case == "on workers out of reach":
             shop._looked_at = shop.now + 60.0
@@ -265,7 +265,7 @@
     work = context.shop.durations.work_of("letters", "")
     assert work.factor > 2.0
     job = JobProgress(_handed_in(amount), context.shop.now, work)
-    rank = step_rank_of(job.begin_repetition(0, context.shop.now)[0], QUEUE, context.shop.now)
+    rank = step_rank_in_queue(job.begin_repetition(0, context.shop.now)[0], QUEUE, context.shop.now)
     assert math.isfinite(rank.latest_start), rank
     assert not rank.is_expired
 
@@ -289,8 +289,8 @@
 @then("a run of it stands still after {seconds:g} seconds without progress, and not before")
 def _stands_still(context: Any, seconds: float) -> None:
     run = _still_run(context, 400.0)
-    assert not is_stalled(run, run.moved_at + seconds - 0.01)
-    assert is_stalled(run, run.moved_at + seconds + 0.01)
+    assert not is_stalled(run, run.progressed_at + seconds - 0.01)
+    assert is_stalled(run, run.progressed_at + seconds + 0.01)
 
 
 @then(
@@ -299,7 +299,7 @@
 )
 def _may_stand(context: Any, estimate: float, seconds: float) -> None:
     run = _still_run(context, estimate)
-    assert not is_stalled(run, run.moved_at + seconds)
+    assert not is_stalled(run, run.progressed_at + seconds)
 
 
 @then("work of a queue and worker that nobody knows is expected to take its estimate")
@@ -315,7 +315,7 @@
 def _rank(context: Any, seconds: float, chain: float, objective: float) -> None:
     shop = context.shop
     step = shop.start(1, seconds)
-    rank = step_rank_of(step, step.job.spec.queue, shop.now)
+    rank = step_rank_in_queue(step, step.job.spec.queue, shop.now)
     slack = rank.latest_start - shop.now
     assert abs(step.expected_chain_seconds / chain - 1.0) < NEAR
     assert abs(step.job.expected_objective_seconds / objective - 1.0) < NEAR
--- a/features/steps/job_directed_steps.py
+++ b/features/steps/job_directed_steps.py
@@ -16,7 +16,7 @@
     ReplyCode,
     StateCall,
     SubmitCall,
-    WaitingCall,
+    WaitingCountCall,
 )
 from onyxspoke.kit.jobs.audit import Violation
 from onyxspoke.kit.jobs.workers import WorkOptions
@@ -144,7 +144,7 @@
 @then("the successor knows since when the other job waits")
 def _knows_age(context: Any) -> None:
     scheduler = context.successor.node.seats[0].scheduler
-    kept = scheduler.context.book.jobs[SECOND_JOB].accepted_at
+    kept = scheduler.context.job_registry.jobs[SECOND_JOB].accepted_at
     assert abs(kept - context.second_at) < CLOSE_SECONDS, (kept, context.second_at)
 
 
@@ -340,6 +340,6 @@
 @then('{count:d} job is said to wait in the queue "{queue}"')
 @then('{count:d} jobs are said to wait in the queue "{queue}"')
 def _said_to_wait(context: Any, count: int, queue: str) -> None:
-    reply = _call(context, context.cluster.holder(), "", WaitingCall(queue))
+    reply = _call(context, context.cluster.holder(), "", WaitingCountCall(queue))
     assert reply is not None and reply.code is ReplyCode.OK, reply
     assert reply.waiting == count, reply
--- a/features/steps/job_promise_steps.py
+++ b/features/steps/job_promise_steps.py
@@ -19,7 +19,7 @@
 from onyxspoke.core.shard import journal, scheduler
 from onyxspoke.core.shard.commit import CommitQueue
 from onyxspoke.core.shard.run_starter import RunStarter
-from onyxspoke.core.shard.worker_keeper import WorkerKeeper
+from onyxspoke.core.shard.worker_manager import WorkerManager
 from onyxspoke.kit.jobs.workers import FakeWorker
 from onyxspoke.sim.explore_jobs import JobRunReport, play
 
@@ -117,11 +117,11 @@
     original = Worker.is_offered
 
     def is_offered(worker: Worker, now: float) -> bool:
-        strays, worker.strays = worker.strays, {}
+        orphan_runs, worker.orphan_runs = worker.orphan_runs, {}
         try:
             return original(worker, now)
         finally:
-            worker.strays = strays
+            worker.orphan_runs = orphan_runs
 
     with mock.patch.object(Worker, "is_offered", is_offered):
         yield
@@ -130,7 +130,7 @@
 @contextmanager
 def _without_proof() -> Iterator[None]:
     def reply_at_once(queue: CommitQueue, effect: Any) -> None:
-        effect(queue.proof_at)
+        effect(queue.ownership_proven_at)
 
     with mock.patch.object(CommitQueue, "after_proof", reply_at_once):
         yield
@@ -138,11 +138,11 @@
 
 @contextmanager
 def _without_commit_before_noting() -> Iterator[None]:
-    def note_at_once(keeper: WorkerKeeper, worker: Worker, now: float) -> None:
+    def note_at_once(keeper: WorkerManager, worker: Worker, now: float) -> None:
         worker.told_through = worker.seen_through
         worker.next_hold_at = now + 0.03
 
-    with mock.patch.object(WorkerKeeper, "_after_answer", note_at_once):
+    with mock.patch.object(WorkerManager, "_after_answer", note_at_once):
         yield
 
 
--- a/features/steps/large_cell_steps.py
+++ b/features/steps/large_cell_steps.py
@@ -33,7 +33,7 @@
 def _new_cell(context: Any, workers: int, part: int) -> None:
     context.cluster = JobCluster(
         ClusterOptions(
-            seed=5, nodes=3, workers=workers, rack_size=part, kinds="a", workers_a_shard=part
+            seed=5, nodes=3, workers=workers, rack_size=part, kinds="a", workers_per_shard=part
         )
     )
     context.cluster.start()
@@ -71,7 +71,7 @@
             workers=shards * WORKERS_A_SHARD,
             rack_size=WORKERS_A_SHARD,
             kinds="a",
-            workers_a_shard=WORKERS_A_SHARD,
+            workers_per_shard=WORKERS_A_SHARD,
             always_good=("w",),
             work=WorkOptions(seed=6),
             store_budget=StoreBudget(writes_per_second=writes, reads_per_second=reads),
@@ -127,7 +127,7 @@
         member.host
         for node in cluster.nodes.values()
         for seat in node.node.seats.values()
-        for member in seat.election.members
+        for member in seat.election.successors
     }
     ordered = sorted(
         cluster.nodes.values(),
@@ -267,14 +267,14 @@
     cluster = context.cluster
     shard, name = _holders(cluster.nodes.values())[0]
     holder = cluster.nodes[name].node
-    named = {member.life for member in holder.seats[shard].election.members}
+    named = {member.incarnation for member in holder.seats[shard].election.successors}
     now = cluster.time.now()
     links = holder.peers.all_up_links()
     holder._send_heartbeats(links)
     for link in links:
-        expected = often if link.identity.life in named else seldom
+        expected = often if link.identity.incarnation in named else seldom
         assert abs(link.heartbeat_due_at - now - expected) < TOLERANCE_SECONDS, link.host
-    assert {link.identity.life in named for link in links} == {True, False}
+    assert {link.identity.incarnation in named for link in links} == {True, False}
 
 
 @when("a holder of it loses its power")
--- a/features/steps/load_report_steps.py
+++ b/features/steps/load_report_steps.py
@@ -16,7 +16,7 @@
 from onyxspoke.core.admission.summary import AdmissionSummary, QueueNotice
 from onyxspoke.core.estimates.expected import Expected
 from onyxspoke.core.jobs.model import AdvicePolicy, JobSpec, StepSpec
-from onyxspoke.core.shard.actions import AdviceAsked, CallerReturned, ReturnOutcome
+from onyxspoke.core.shard.actions import AdviceRequested, CallerReturned, ReturnOutcome
 from onyxspoke.core.shard.calls import SubmitCall
 from onyxspoke.node.load_reports import learned_factors
 from onyxspoke.node.metrics import NodeMetrics
@@ -60,7 +60,7 @@
     advice = AdvicePolicy(5.0, 0.2, 1_500.0)
     queues = {name: replace(queue, advice=advice) for name, queue in shard.policy.queues.items()}
     shard.policy = replace(shard.policy, queues=queues)
-    shard.desk.wait_seconds = lambda _call, _rank, _now: seconds
+    shard.advice_dispatcher.wait_seconds = lambda _call, _rank, _now: seconds
 
 
 @given(
@@ -164,7 +164,7 @@
 
 @when('it emits that a call for advice of "{queue}" and "{tenant}" waited {seconds:g} seconds')
 def _waited(context: Any, queue: str, tenant: str, seconds: float) -> None:
-    _emit(context, [AdviceAsked(queue, tenant, seconds)])
+    _emit(context, [AdviceRequested(queue, tenant, seconds)])
 
 
 @when("jobs of {count:d} queues, tenants and reasons are refused and wait for advice")
@@ -173,7 +173,7 @@
     for number in range(count):
         load = context.metrics.load
         load.note_refused(f"queue-{number}", f"reason-{number}", 1.0)
-        load.note_advice_asked(AdviceAsked(f"queue-{number}", f"tenant-{number}", 1.0))
+        load.note_advice_asked(AdviceRequested(f"queue-{number}", f"tenant-{number}", 1.0))
 
 
 @when("an operator asks how much waits in {count:d} queues that nobody made")
@@ -220,7 +220,7 @@
     policy = scheduler.context.policy.queues[queue]
     spec = JobSpec(job_id="a" * 16, queue=policy, payload="p", steps=(step,))
     context.cluster.pool.specs[spec.job_id] = spec
-    scheduler.stimulus_call(-1, SubmitCall(spec), context.cluster.time.now())
+    scheduler.on_call(-1, SubmitCall(spec), context.cluster.time.now())
     context.cluster.run(2.0)
 
 
--- a/features/steps/naive_advice.py
+++ b/features/steps/naive_advice.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from onyxspoke.core.placement.advice_places import SHORT_CALL_SECONDS, AdvicePlaces
+from onyxspoke.core.placement.entry_partition import SHORT_CALL_SECONDS, EntryPartition
 
 
 @dataclass
@@ -32,11 +32,11 @@
         self.out: list[_Call] = []
         self.open: dict[Any, int] = {}
         self.retry_at: dict[Any, float] = {}
-        self.places = AdvicePlaces()
+        self.places = EntryPartition()
         self.slowness = 1.0
         self.count = 0
 
-    def set_advisors(self, names: list[str], now: float) -> None:
+    def set_advice_entries(self, names: list[str], now: float) -> None:
         gone = set(self.names) - set(names)
         self.names = names
         for name in gone:
--- a/features/steps/node_tools_steps.py
+++ b/features/steps/node_tools_steps.py
@@ -90,7 +90,7 @@
 def _names_holder(context, count):
     shards = context.exchange.body["shards"]
     assert len(shards) == count
-    assert shards[0]["holder"] == context.cluster.holder().node.identity.life
+    assert shards[0]["holder"] == context.cluster.holder().node.identity.incarnation
 
 
 @when("the settings are read")
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.jobs.states import JobState, RunState, TaskState
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.placer import Placer
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerRecord
@@ -33,8 +33,8 @@
     def __init__(self) -> None:
         self.now = 100.0
         self.table = WorkerTable()
-        self.desk = AdviceDesk()
-        self.placer = Placer(self.table, self.desk, stop_seconds=0.4)
+        self.advice_dispatcher = AdviceDispatcher()
+        self.placer = Placer(self.table, self.advice_dispatcher, stop_seconds=0.4)
         self.advice: AdvicePolicy | None = None
         self.steps: dict[str, StepProgress] = {}
         self.runs: dict[str, Run] = {}
@@ -52,8 +52,8 @@
             capacity=Needs(processors * MILLI, 64_000, 0),
             rack=rack,
         )
-        worker = Worker(record, unsettled_until=0.0)
-        worker.move_to(WorkerContact.SETTLED)
+        worker = Worker(record, previous_lease_expires_at=0.0)
+        worker.move_to(WorkerContact.RECONCILED)
         worker.is_recorded = True
         self.table.workers[name] = worker
 
@@ -103,7 +103,7 @@
         for plan in self.placer.plan(waiting, PolicySet(), NO_QUOTAS, self.now):
             runs = [self.start(plan.step, item.task.index, item.worker) for item in plan.placements]
             self.started[plan.step.job.job_id] = runs
-        self.calls = self.desk.dispatch(self.now)
+        self.calls = self.advice_dispatcher.dispatch(self.now)
 
 
 @given("workers {names} of {processors:d} processors each")
@@ -129,7 +129,9 @@
 def _advisors(context: Any, count: int, decide: int, each: int) -> None:
     scene = context.scene
     scene.advice = AdvicePolicy(decide, each, 1_500.0)
-    scene.desk.set_advisors([f"entry-{number}" for number in range(count)], scene.now)
+    scene.advice_dispatcher.set_advice_entries(
+        [f"entry-{number}" for number in range(count)], scene.now
+    )
 
 
 @given('a waiting step "{name}" of {count:d} task of {processors:d} processors, priority {rank:d}')
@@ -184,7 +186,7 @@
     run.move_to(RunState.ENDED)
     run.worker.remove(run)
     run.task.move_to(TaskState.DONE)
-    scene.table.note_gain(run.worker)
+    scene.table.note_capacity_gain(run.worker)
 
 
 @when('"{name}" waits no longer')
@@ -211,7 +213,7 @@
     for call in scene.calls:
         tickets = [Ticket(worker_id, "ticket") for worker_id in call.worker_ids]
         result = AdviceResult(AdviceOutcome.ANSWERED, tickets, float(validity))
-        scene.desk.handle_result(call.call_id, result, scene.now)
+        scene.advice_dispatcher.handle_result(call.call_id, result, scene.now)
     scene.placer.reconsider(scene.steps[name].key)
 
 
@@ -220,7 +222,7 @@
     scene = context.scene
     for call in scene.calls:
         result = AdviceResult(AdviceOutcome.ANSWERED, [], 1_500.0)
-        scene.desk.handle_result(call.call_id, result, scene.now)
+        scene.advice_dispatcher.handle_result(call.call_id, result, scene.now)
     scene.placer.reconsider(scene.steps[name].key)
 
 
@@ -259,7 +261,7 @@
     scene = context.scene
     scene.now += seconds
     scene.first_calls = scene.calls or scene.first_calls
-    for key in scene.desk.take_due_retries(scene.now):
+    for key in scene.advice_dispatcher.take_due_retries(scene.now):
         scene.placer.reconsider(key)
     scene.make_pass()
 
@@ -277,7 +279,7 @@
 
 def _position(context: Any, name: str) -> int:
     [call] = [call for call in context.scene.calls if call.step.job_id == name]
-    return int(call.advisor.rpartition("-")[2])
+    return int(call.entry_name.rpartition("-")[2])
 
 
 @then('the call for advice on "{name}" goes through none of the first {count:d} entries')
@@ -301,7 +303,7 @@
 def _another_entry(context: Any, name: str) -> None:
     [first] = context.scene.first_calls
     [second] = [call for call in context.scene.calls if call.step.job_id == name]
-    assert second.advisor != first.advisor, first.advisor
+    assert second.entry_name != first.entry_name, first.entry_name
 
 
 @when("the first call is answered, that every worker is good for {validity:d} ms")
@@ -310,7 +312,7 @@
     [first] = scene.first_calls
     tickets = [Ticket(name, f"ticket-{name}") for name in first.worker_ids]
     result = AdviceResult(AdviceOutcome.ANSWERED, tickets, validity)
-    key = scene.desk.handle_result(first.call_id, result, scene.now)
+    key = scene.advice_dispatcher.handle_result(first.call_id, result, scene.now)
     assert key is not None
     scene.placer.reconsider(key)
 
@@ -329,7 +331,7 @@
 
 
 def _evictions(context: Any) -> list[Run]:
-    found = context.scene.placer.take_evictions()
+    found = context.scene.placer.take_preemption_requests()
     for eviction in found:
         assert eviction.step.job.job_id == "gang"
     return [run for eviction in found for run in eviction.preemption.runs]
@@ -354,7 +356,7 @@
     scene = context.scene
     for run in context.stopping:
         run.worker.remove(run)
-        scene.table.note_gain(run.worker)
+        scene.table.note_capacity_gain(run.worker)
     scene.now += 0.3
     scene.make_pass()
 
@@ -387,7 +389,7 @@
     run.worker.remove(run)
     task.run = None
     task.move_to(TaskState.WAITING)
-    scene.table.note_gain(run.worker)
+    scene.table.note_capacity_gain(run.worker)
 
 
 @then('the call for advice on "{name}" names no worker that runs a task of it')
--- a/features/steps/preemption_steps.py
+++ b/features/steps/preemption_steps.py
@@ -13,7 +13,7 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.preemption import choose_preemption
-from onyxspoke.core.placement.room import ScratchRoom, slots_within
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity, slots_within
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
 
 TRAITS: dict[str, dict[str, bool]] = {
@@ -58,7 +58,7 @@
     run = context.run
     run.is_resumed = True
     run.percent = percent
-    run.confirmed_at = run.moved_at = context.scene.now - seconds
+    run.confirmed_at = run.progressed_at = context.scene.now - seconds
 
 
 @when('"{name}" has been stopped')
@@ -66,7 +66,7 @@
     run = context.scene.runs[name]
     run.move_to(RunState.ENDED)
     run.worker.remove(run)
-    context.scene.table.note_gain(run.worker)
+    context.scene.table.note_capacity_gain(run.worker)
 
 
 @when('the advice is that "{name}" may run on "{worker}"')
@@ -75,7 +75,7 @@
     call = next(call for call in scene.calls if call.step.job_id == name)
     tickets = [Ticket(worker, "ticket")]
     result = AdviceResult(AdviceOutcome.ANSWERED, tickets, validity_ms=2_000)
-    scene.placer.reconsider(scene.desk.handle_result(call.call_id, result, scene.now))
+    scene.placer.reconsider(scene.advice_dispatcher.handle_result(call.call_id, result, scene.now))
 
 
 @when('the advice on "{name}" has come, {seconds:g} seconds ago')
@@ -90,7 +90,7 @@
 
 @then('"{victim}" gives way to "{step}"')
 def _gives_way(context: Any, victim: str, step: str) -> None:
-    evictions = context.scene.placer.take_evictions()
+    evictions = context.scene.placer.take_preemption_requests()
     found = [
         (run.task.step.job.job_id, eviction.step.job.job_id)
         for eviction in evictions
@@ -101,7 +101,7 @@
 
 @then("nothing gives way")
 def _nothing(context: Any) -> None:
-    assert context.scene.placer.take_evictions() == []
+    assert context.scene.placer.take_preemption_requests() == []
 
 
 @then(
@@ -151,7 +151,7 @@
             run.confirmed_at = scene.now - rng.choice([0.0, 0.5, 1.7])
     needs = Needs(rng.randint(3, 16) * MILLI, 100, 0)
     workers = [item for item in scene.table.workers.values() if not item.fits(needs)]
-    found = choose_preemption(1, needs, workers, ScratchRoom(), PolicySet(), scene.now)
+    found = choose_preemption(1, needs, workers, ScratchCapacity(), PolicySet(), scene.now)
     return scene, needs, found, any(_naive(worker, needs, scene.now) for worker in workers)
 
 
--- a/features/steps/quota_loan_steps.py
+++ b/features/steps/quota_loan_steps.py
@@ -13,11 +13,11 @@
 from onyxspoke.core.jobs.amounts import minus
 from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
 from onyxspoke.core.jobs.records import encode_spec, spec_key
-from onyxspoke.core.shard.actions import Decision
+from onyxspoke.core.shard.actions import DecisionLogLine
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
 from onyxspoke.core.shard.journal import restore_records
 from onyxspoke.core.shard.log_records import ShardRecord
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 from onyxspoke.core.tenants.bank import QUOTA_PREFIX, Loan, QuotaBank, QuotaRequest
 from onyxspoke.core.tenants.borrower import QuotaBorrower
 
@@ -169,20 +169,22 @@
         job_id="00000000000000a1", queue=queue, payload="", steps=(StepSpec(task_count=1),)
     )
     context.shard_context = ShardContext(ShardOptions(), token=7)
-    register = WorkerRegister(context.shard_context, 0.0)
+    worker_registry = WorkerRegistry(context.shard_context, 0.0)
     records = [
         ShardRecord(QUOTA_PREFIX + TENANT, b"\xc1 no record"),
         ShardRecord(spec_key(spec.job_id), encode_spec(spec)),
     ]
-    restore_records(context.shard_context, register, records, 10.0)
+    restore_records(context.shard_context, worker_registry, records, 10.0)
 
 
 @then("the record is named in the log, and the jobs beside it are there")
 def _named(context: Any) -> None:
-    decisions = [item for item in context.shard_context.actions if isinstance(item, Decision)]
+    decisions = [
+        item for item in context.shard_context.actions if isinstance(item, DecisionLogLine)
+    ]
     named = [dict(item.fields)["key"] for item in decisions if item.event == "record_unreadable"]
     assert named == [QUOTA_PREFIX + TENANT], named
-    assert list(context.shard_context.book.jobs) == ["00000000000000a1"]
+    assert list(context.shard_context.job_registry.jobs) == ["00000000000000a1"]
 
 
 class _Play:
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -11,7 +11,7 @@
 
 from onyxspoke.core.jobs.model import StepSpec
 from onyxspoke.core.placement.workers import Worker
-from onyxspoke.core.shard import run_keeper, run_starter, worker_keeper
+from onyxspoke.core.shard import run_manager, run_starter, worker_manager
 from onyxspoke.core.shard.actions import WorkerAddress
 from onyxspoke.kit.jobs.audit import Violation
 from onyxspoke.kit.jobs.workers import WorkOptions
@@ -106,7 +106,7 @@
         record = worker.record
         return WorkerAddress(record.worker_id, record.host, record.port)
 
-    for module in (worker_keeper, run_keeper, run_starter):
+    for module in (worker_manager, run_manager, run_starter):
         patch = mock.patch.object(module, "address_of", address_of)
         patch.start()
         context.add_cleanup(patch.stop)
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -126,7 +126,7 @@
         held = plus(held, run.task.step.spec.needs)
     free = minus(worker.record.capacity, held)
     assert (worker.free_processors, worker.free_memory, worker.free_accelerators) == free
-    assert worker.is_over_room == (min(free) < 0)
+    assert worker.is_over_capacity == (min(free) < 0)
     assert not worker.fits(Needs(1, 1, 1)) or min(free) > 0
 
 
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -7,7 +7,7 @@
 from http_steps import Exchange, post
 
 from onyxspoke.core.settings_tree import render_settings_page
-from onyxspoke.core.shard.load_definitions import render_load_page
+from onyxspoke.core.shard.load_option_definitions import render_load_page
 
 PAGE = Path(__file__).resolve().parents[2] / "docs" / "SETTINGS.md"
 DECISION_SECONDS = 6.0
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -9,7 +9,7 @@
 
 from onyxspoke.core.jobs.model import JobSpec, Needs, StepSpec
 from onyxspoke.core.placement.worker_record import WorkerRecord
-from onyxspoke.core.shard.calls import CallReply, ReplyCode, SubmitCall, WaitingCall
+from onyxspoke.core.shard.calls import CallReply, ReplyCode, SubmitCall, WaitingCountCall
 from onyxspoke.core.shard.election_actions import NodeIdentity
 from onyxspoke.core.shard.layout import plan_layout
 from onyxspoke.kit.jobs.workers import WorkOptions
@@ -143,7 +143,7 @@
     cluster = context.cluster
     for node in cluster.nodes.values():
         replies: list[CallReply | None] = []
-        cluster.call(node, "", WaitingCall(QUEUE), replies.append)
+        cluster.call(node, "", WaitingCountCall(QUEUE), replies.append)
         cluster.run(0.5)
         assert replies[0] is not None
         assert replies[0].waiting == count, replies
@@ -209,7 +209,7 @@
         assert len(chosen) == count
         weights = [node.weight for node in chosen]
         assert weights == sorted(weights, reverse=True)
-        context.first.add(chosen[0].life)
+        context.first.add(chosen[0].incarnation)
 
 
 @then("at least {count:d} nodes come first in some shard")
--- a/features/steps/slow_link_steps.py
+++ b/features/steps/slow_link_steps.py
@@ -112,11 +112,11 @@
     context.clock = Clock()
     context.clock.advance(100.0)
     context.listener = _Listener()
-    own = NodeIdentity(life="own", host="own", port=1, zone="zone", weight=1.0)
+    own = NodeIdentity(incarnation="own", host="own", port=1, zone="zone", weight=1.0)
     context.links = PeerLinks(_Network(context.clock), own, context.listener)
     context.stream = context.links._build_incoming()
     context.stream.makeConnection(_Transport())
-    peer = NodeIdentity(life="peer", host="peer", port=1, zone="zone", weight=1.0)
+    peer = NodeIdentity(incarnation="peer", host="peer", port=1, zone="zone", weight=1.0)
     context.stream.dataReceived(encode_message(Hello(peer)))
 
 
--- a/features/steps/slow_store_steps.py
+++ b/features/steps/slow_store_steps.py
@@ -131,7 +131,7 @@
         shard=0,
         epoch=1,
         next_sequence=1,
-        proof_at=0.0,
+        ownership_proven_at=0.0,
         collect=collect,
         renew=lambda: ShardRecord("~claim", b"renewed"),
         is_dirty=lambda: bool(context.dirty),
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -52,8 +52,8 @@
 
     def start(orders: FakeWorkerOrders, order: SendStart, on_result: Any) -> None:
         if holder.is_holding:
-            proof_at = holder.node.seats[0].scheduler.context.commit.proof_at
-            context.starts.append((cluster.time.now(), order.token, proof_at))
+            ownership_proven_at = holder.node.seats[0].scheduler.context.commit.ownership_proven_at
+            context.starts.append((cluster.time.now(), order.token, ownership_proven_at))
         original(orders, order, on_result)
 
     patch = mock.patch.object(FakeWorkerOrders, "start", start)
@@ -84,8 +84,8 @@
 @then("every start after it was ordered on a proof from after it")
 def _proved(context: Any) -> None:
     after = [
-        (moment, proof_at)
-        for moment, token, proof_at in context.starts
+        (moment, ownership_proven_at)
+        for moment, token, ownership_proven_at in context.starts
         if moment >= context.woken_at and token == context.token
     ]
     early = [item for item in after if item[1] < context.woken_at]
--- a/features/steps/tenant_key_steps.py
+++ b/features/steps/tenant_key_steps.py
@@ -127,7 +127,7 @@
 
 @then('the job is known as one of "{tenant}"')
 def _job_of(context: Any, tenant: str) -> None:
-    book = context.cluster.holder().node.seats[0].scheduler.context.book
+    book = context.cluster.holder().node.seats[0].scheduler.context.job_registry
     assert book.jobs[FIRST_JOB].spec.tenant == tenant
 
 
@@ -219,5 +219,5 @@
 @then("they are read, and no tenant's")
 def _read_old(context: Any) -> None:
     spec = decode_spec("key", context.old_spec)
-    assert (spec.accepted_at_ms, spec.tenant, spec.is_beyond_share) == (17, "", False)
+    assert (spec.accepted_at_ms, spec.tenant, spec.is_over_share) == (17, "", False)
     assert decode_progress("key", context.old_progress).tenant == ""
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -17,8 +17,8 @@
 from onyxspoke.cli import step_commands
 from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
 from onyxspoke.core.jobs.progress import JobProgress
-from onyxspoke.core.placement.queue_order import step_rank_of
-from onyxspoke.core.shard import quota_desk
+from onyxspoke.core.placement.queue_order import step_rank_in_queue
+from onyxspoke.core.shard import quota_coordinator
 from onyxspoke.core.shard.actions import JobEnded
 from onyxspoke.core.shard.calls import CallReply, ReplyCode, StateCall, SubmitCall
 from onyxspoke.core.tenants.ledger import QuotaLedger, QuotaPass
@@ -58,7 +58,7 @@
 
 @contextmanager
 def _without_doubt() -> Iterator[None]:
-    with mock.patch.object(quota_desk, "find_doubts", lambda _jobs, _workers: {}):
+    with mock.patch.object(quota_coordinator, "find_doubts", lambda _jobs, _workers: {}):
         yield
 
 
@@ -335,11 +335,11 @@
             queue=queue,
             payload="",
             steps=(StepSpec(task_count=1, estimated_ms=1_000),),
-            is_beyond_share=row["beyond"] == "yes",
+            is_over_share=row["beyond"] == "yes",
         )
         job = JobProgress(spec, 100.0 - float(row["late by"]))
         step = job.begin_repetition(0, 100.0)[0]
-        context.ranked.append((step_rank_of(step, queue, 100.0), row["name"]))
+        context.ranked.append((step_rank_in_queue(step, queue, 100.0), row["name"]))
 
 
 @then('they come in the order "{names}"')
--- a/features/steps/topic_feed_steps.py
+++ b/features/steps/topic_feed_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from twisted.internet.task import Clock
 
-from onyxspoke.core.shard.log_records import NewestPage, ShardRecord
+from onyxspoke.core.shard.log_records import LatestRecordsPage, ShardRecord
 from onyxspoke.platform.feeds import TopicFeed
 from onyxspoke.platform.store import TailAnswer
 
@@ -20,11 +20,11 @@
     """Takes a feed's reads; a scenario answers them."""
 
     def __init__(self) -> None:
-        self.newest: list[Callable[[NewestPage], None]] = []
+        self.newest: list[Callable[[LatestRecordsPage], None]] = []
         self.tails: list[tuple[int, Callable[[TailAnswer], None]]] = []
 
     def read_newest_of(
-        self, _topic: str, _part: int, _after: str, on_page: Callable[[NewestPage], None]
+        self, _topic: str, _part: int, _after: str, on_page: Callable[[LatestRecordsPage], None]
     ) -> None:
         """Take a read of the newest records."""
         self.newest.append(on_page)
@@ -49,7 +49,9 @@
         skips_to_newest=nature == "skips to the newest record",
     )
     feed.start()
-    context.store.newest.pop()(NewestPage(is_known=True, records=[], has_more=False, end=offset))
+    context.store.newest.pop()(
+        LatestRecordsPage(is_known=True, records=[], has_more=False, end=offset)
+    )
 
 
 @when("an answer brings {count:d} records of a topic that ends at {end:d}")
--- a/features/steps/unlike_worker_steps.py
+++ b/features/steps/unlike_worker_steps.py
@@ -13,8 +13,8 @@
 
 from onyxspoke.core.jobs.states import RunState, TaskState
 from onyxspoke.core.placement.placer import Placer
-from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.spreading import Candidate, place_tasks
 
 PASS_SECONDS = 0.05
@@ -55,7 +55,7 @@
             scene.table.workers[f"w{number}"].speed.factor = quarters / 4.0
     step = scene.add_step("step", tasks, processors, 0, age_seconds=age, stretch=stretch)
     candidates = [Candidate(worker, "") for worker in scene.table.workers.values()]
-    placed = place_tasks(step, candidates, ScratchRoom(), tasks, scene.now, is_on)
+    placed = place_tasks(step, candidates, ScratchCapacity(), tasks, scene.now, is_on)
     if placed is None:
         return []
     return [(item.task.index, item.worker.worker_id) for item in placed.placements]
@@ -86,9 +86,11 @@
 class _Cell:
     """A third of its workers is slow; jobs of two kinds are handed in."""
 
-    def __init__(self, minds_speed: bool) -> None:
+    def __init__(self, is_speed_aware: bool) -> None:
         self.scene = scene = _Scene()
-        scene.placer = Placer(scene.table, scene.desk, 0.4, minds_speed=minds_speed)
+        scene.placer = Placer(
+            scene.table, scene.advice_dispatcher, 0.4, is_speed_aware=is_speed_aware
+        )
         self.random = random.Random(5)
         self.ends: dict[Run, float] = {}
         self.late: dict[str, list[bool]] = {"pressed": [], "patient": []}
@@ -113,22 +115,22 @@
                 run.move_to(RunState.RUNNING)
                 run.confirmed_at = self.scene.now
                 self.ends[run] = self.scene.now + WORK_SECONDS * run.worker.speed.factor
-        self.scene.placer.take_evictions()
+        self.scene.placer.take_preemption_requests()
 
     def _end(self, run: Run) -> None:
         del self.ends[run]
         run.move_to(RunState.ENDED)
         run.worker.remove(run)
         run.task.move_to(TaskState.DONE)
-        self.scene.table.note_gain(run.worker)
+        self.scene.table.note_capacity_gain(run.worker)
         step = run.task.step
         is_late = self.scene.now > step.due_at + step.job.objective_seconds
         self.late[step.job.job_id.partition("-")[0]].append(is_late)
 
 
-def _late(minds_speed: bool, seconds: float) -> dict[str, float]:
+def _late(is_speed_aware: bool, seconds: float) -> dict[str, float]:
     """Play a cell; return the share of late jobs by kind."""
-    cell = _Cell(minds_speed)
+    cell = _Cell(is_speed_aware)
     end = cell.scene.now + seconds
     while cell.scene.now < end:
         cell.hand_in()
--- a/scripts/make_codes_page.py
+++ b/scripts/make_codes_page.py
@@ -12,7 +12,7 @@
     outcome_of,
 )
 from onyxspoke.core.settings_tree import render_settings_page
-from onyxspoke.core.shard.load_definitions import render_load_page
+from onyxspoke.core.shard.load_option_definitions import render_load_page
 
 SETTINGS_PAGE = Path(__file__).resolve().parent.parent / "docs" / "SETTINGS.md"
 PAGE = Path(__file__).resolve().parent.parent / "docs" / "CODES.md"
--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -45,7 +45,7 @@
     phases: dict[Phase, float] = field(default_factory=dict)
     #: By phase, what it took beyond what it should have.
     excess: dict[Phase, float] = field(default_factory=dict)
-    is_beyond_share: bool = False
+    is_over_share: bool = False
     refusals: int = 0
     starts: int = 0
     advice_answers: int = 0
@@ -92,7 +92,7 @@
         _outcome(job, trails, usual, _judge(seconds, objective, path)),
         path.spent,
         path.excess(),
-        job.is_beyond_share,
+        job.is_over_share,
         refusals=len(job.refusals),
         starts=len(runs),
         advice_answers=sum(len(moments) for moments in job.advice.values()),
--- a/src/onyxspoke/account/phases.py
+++ b/src/onyxspoke/account/phases.py
@@ -180,7 +180,7 @@
         advised_at = min(moments, default=since)
         waited = min(max(0.0, min(until, advised_at) - since), gap - lost)
         spent[Phase.ADVICE] += waited
-        phase = Phase.SHARE if self._job.is_beyond_share else Phase.ROOM
+        phase = Phase.SHARE if self._job.is_over_share else Phase.ROOM
         spent[phase] += gap - lost - waited
 
 
--- a/src/onyxspoke/account/trails.py
+++ b/src/onyxspoke/account/trails.py
@@ -67,7 +67,7 @@
     queue: str = "?"
     tenant: str = ""
     #: Its tenant had handed in more than it is owed.
-    is_beyond_share: bool = False
+    is_over_share: bool = False
     #: The objective is this many times the work of the longest chain, and the target more.
     stretch: float = 1.0
     target_seconds: float = 0.0
@@ -195,7 +195,7 @@
     job.handed_in_at = min(job.handed_in_at or moment, moment)
     job.queue = pairs.get("queue", "?")
     job.tenant = pairs.get("tenant", "")
-    job.is_beyond_share = pairs.get("beyond_share") == "1"
+    job.is_over_share = pairs.get("beyond_share") == "1"
     job.stretch = float(pairs.get("stretch", "1"))
     job.target_seconds = int(pairs.get("target_ms", "0")) / _MILLISECONDS
     job.advice_seconds = int(pairs.get("advice_ms", "0")) / _MILLISECONDS
--- a/src/onyxspoke/cli/account_tables.py
+++ b/src/onyxspoke/cli/account_tables.py
@@ -78,7 +78,7 @@
 
 
 def _queue_and_share(account: JobAccount) -> str:
-    return f"{account.queue}{' (beyond share)' if account.is_beyond_share else ''}"
+    return f"{account.queue}{' (beyond share)' if account.is_over_share else ''}"
 
 
 def print_uses(accounts: list[JobAccount]) -> None:
--- a/src/onyxspoke/cli/node.py
+++ b/src/onyxspoke/cli/node.py
@@ -123,7 +123,7 @@
     store = StoreClient(client, settings.store.address)
     own = settings.node
     identity = NodeIdentity(
-        life=f"{own.node_name}.{secrets.token_hex(LIFE_BYTES)}",
+        incarnation=f"{own.node_name}.{secrets.token_hex(LIFE_BYTES)}",
         host=own.host,
         port=own.peer_port,
         zone=own.zone,
--- a/src/onyxspoke/core/admission/arrivals.py
+++ b/src/onyxspoke/core/admission/arrivals.py
@@ -12,7 +12,7 @@
 from onyxspoke.core.placement.queue_order import StepRank
 
 #: Time constant of the exponential decay, in seconds.
-SPAN_SECONDS = 4.0
+DECAY_SECONDS = 4.0
 #: Minimum observation time, in seconds, so that a few simultaneous jobs don't give a high rate.
 MIN_OBSERVED_SECONDS = 1.0
 #: Upper bound of the share of the capacity that arrivals take, so that every delay stays finite.
@@ -33,7 +33,7 @@
 
 def rank_class_of(rank: StepRank) -> RankClass:
     """Return the class of a rank."""
-    return RankClass(rank.is_beyond_share, rank.priority)
+    return RankClass(rank.is_over_share, rank.priority)
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
         return (
             self.work_share_seconds
             * _decay_factor(now - self.updated_at)
-            / (SPAN_SECONDS * (1.0 - _decay_factor(observed_seconds)))
+            / (DECAY_SECONDS * (1.0 - _decay_factor(observed_seconds)))
         )
 
 
@@ -72,7 +72,9 @@
     def __init__(self) -> None:
         self._work_by_service: dict[str, dict[RankClass, _DecayedSum]] = {}
 
-    def note(self, service: str, rank: StepRank, work_share_seconds: float, now: float) -> None:
+    def record_arrival(
+        self, service: str, rank: StepRank, work_share_seconds: float, now: float
+    ) -> None:
         """Record the work of an admitted job, in share-seconds."""
         work_by_class = self._work_by_service.setdefault(service, {})
         work_by_class.setdefault(rank_class_of(rank), _DecayedSum(now, now)).add(
@@ -92,4 +94,4 @@
 
 
 def _decay_factor(seconds: float) -> float:
-    return math.exp(-seconds / SPAN_SECONDS)
+    return math.exp(-seconds / DECAY_SECONDS)
--- a/src/onyxspoke/core/admission/gate.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -9,9 +9,9 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.lane import DurationBounds
 from onyxspoke.core.admission.load_view import LoadView
+from onyxspoke.core.admission.resource_pool import DurationBounds
+from onyxspoke.core.admission.submitted_job import SubmittedJob
 from onyxspoke.core.admission.verdict import (
     Admit,
     RefusalReason,
@@ -23,14 +23,14 @@
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 
 #: Minimum and maximum retry time of a refusal, in seconds.
-SHORTEST_RETRY_SECONDS = 1.0
+MIN_RETRY_SECONDS = 1.0
 MAX_RETRY_SECONDS = 120.0
 
 
-class Gate:
+class AdmissionDecider:
     """Decides whether a job is admitted; has no side effects."""
 
-    def decide(self, job: HandIn, view: LoadView, now: float) -> Verdict:
+    def decide(self, job: SubmittedJob, view: LoadView, now: float) -> Verdict:
         """Return the verdict on a job.
 
         ``retry_after_seconds`` of a refusal is the best-case delay until the job could start.
@@ -49,13 +49,13 @@
             max(delay.worst_seconds, job.advice_seconds) + execution.worst_seconds
         )
         may_finish_in_time = best_finish_seconds <= inputs.seconds_to_expiry
-        if may_finish_in_time and job.is_awaited:
+        if may_finish_in_time and job.is_timely_retry:
             return Admit(inputs)
-        is_owed = not job.rank.is_beyond_share
-        if is_owed and best_finish_seconds <= job.objective_ends_at - now:
+        is_entitled = not job.rank.is_over_share
+        if is_entitled and best_finish_seconds <= job.objective_ends_at - now:
             return Admit(inputs)
         may_admit = worst_finish_seconds <= inputs.seconds_to_expiry or (
-            may_finish_in_time and is_owed
+            may_finish_in_time and is_entitled
         )
         if may_admit and not view.would_expire_late_job(job):
             return Admit(inputs)
@@ -65,7 +65,7 @@
         return Refuse(reason, _retry_seconds(job, delay), inputs)
 
 
-def closed_seconds(job: HandIn, verdict: Refuse) -> float:
+def closed_seconds(job: SubmittedJob, verdict: Refuse) -> float:
     """Return for how many seconds newly submitted jobs like this one would be refused.
 
     A job within its tenant's share that is refused because it would make late jobs expire has to
@@ -73,7 +73,7 @@
     """
     inputs = verdict.inputs
     is_uncertain = verdict.reason is RefusalReason.IN_DOUBT
-    if is_uncertain and not job.rank.is_beyond_share:
+    if is_uncertain and not job.rank.is_over_share:
         return verdict.retry_after_seconds
     # The job's own width is left out: narrower jobs of the queue may still be admitted.
     delay, duration_seconds = inputs.start_delay_seconds, job.chain_median_seconds
@@ -83,28 +83,28 @@
     return max(delay, inputs.advice_seconds) + duration_seconds - expiry_seconds
 
 
-def _can_start_now(job: HandIn, view: LoadView, inputs: VerdictInputs) -> bool:
+def _can_start_now(job: SubmittedJob, view: LoadView, inputs: VerdictInputs) -> bool:
     """Return whether free workers could run the job now, and advice for it arrives in time."""
     max_advice_seconds = inputs.seconds_to_expiry - job.chain_median_seconds
     is_advice_in_time = job.advice_seconds <= max(max_advice_seconds, job.objective_seconds)
     return is_advice_in_time and view.has_capacity_for(job)
 
 
-def _retry_seconds(job: HandIn, delay: DurationBounds) -> float:
+def _retry_seconds(job: SubmittedJob, delay: DurationBounds) -> float:
     """Return the best-case delay until the job could start, within the retry limits."""
     seconds = max(delay.best_seconds, job.advice_seconds)
-    return min(max(seconds, SHORTEST_RETRY_SECONDS), MAX_RETRY_SECONDS)
+    return min(max(seconds, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
 
 
 def _verdict_inputs(
-    job: HandIn, delay: DurationBounds, view: LoadView, now: float
+    job: SubmittedJob, delay: DurationBounds, view: LoadView, now: float
 ) -> VerdictInputs:
     return VerdictInputs(
         start_delay_seconds=delay.best_seconds,
         advice_seconds=job.advice_seconds,
         work_median_seconds=job.chain_median_seconds,
         work_upper_seconds=job.chain_upper_seconds,
-        seconds_to_expiry=job.last_use_at - now,
+        seconds_to_expiry=job.expires_at - now,
         load_view_age_seconds=now - view.made_at,
         start_delay_upper_seconds=delay.worst_seconds,
     )
--- a/src/onyxspoke/core/admission/room_curve.py
+++ b/src/onyxspoke/core/admission/free_capacity_curve.py
@@ -9,7 +9,7 @@
 ROUNDING_TOLERANCE = 1e-9
 
 
-class RoomCurve:
+class FreeCapacityCurve:
     """The work that free capacity can do as a function of time.
 
     The whole capacity does one share-second of work per second.
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from onyxspoke.core.admission.hand_in import HandIn, StepWork
-from onyxspoke.core.admission.lane import DurationBounds, Lane, dominant_share
+from onyxspoke.core.admission.resource_pool import DurationBounds, ResourcePool, dominant_share
+from onyxspoke.core.admission.submitted_job import StepWork, SubmittedJob
 from onyxspoke.core.jobs.amounts import minus, slots_within, times
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.tenants.policy import TenantName
@@ -27,30 +27,30 @@
     ----------
     made_at : float
         Time on the holder's clock at which the view was made.
-    lanes : dict of str to Lane
+    pools : dict of str to ResourcePool
         Pool of each service that has workers.
     quotas : dict of TenantName to Needs
         Quota of each tenant that has one.
-    quota_pools : dict of TenantName to Lane
+    quota_pools : dict of TenantName to ResourcePool
         Pool of each tenant that has a quota.
     free_capacity : dict of str to list of FreeCapacity
         Workers of each service with free capacity, in descending order of free processors.
     """
 
     made_at: float
-    lanes: dict[str, Lane]
+    pools: dict[str, ResourcePool]
     quotas: dict[TenantName, Needs] = field(default_factory=dict)
-    quota_pools: dict[TenantName, Lane] = field(default_factory=dict)
+    quota_pools: dict[TenantName, ResourcePool] = field(default_factory=dict)
     free_capacity: dict[str, list[FreeCapacity]] = field(default_factory=dict)
     #: Needs of jobs that were admitted after the view was made, by service.
     _admitted_needs: dict[str, Needs] = field(default_factory=dict)
 
-    def start_delay(self, job: HandIn) -> DurationBounds | None:
+    def start_delay(self, job: SubmittedJob) -> DurationBounds | None:
         """Return the bounds of the delay until a job could start, or None if it is unknown."""
-        lane = self.lanes.get(job.service)
-        if lane is None:
+        pool = self.pools.get(job.service)
+        if pool is None:
             return None
-        delay = lane.start_delay(job)
+        delay = pool.start_delay(job)
         quota_pool = self.quota_pools.get(job.tenant)
         if quota_pool is None:
             return delay
@@ -58,34 +58,34 @@
         best_seconds = max(delay.best_seconds, quota_delay.best_seconds)
         return DurationBounds(best_seconds, max(delay.worst_seconds, quota_delay.worst_seconds))
 
-    def is_held_by_quota(self, job: HandIn) -> bool:
+    def is_limited_by_quota(self, job: SubmittedJob) -> bool:
         """Return whether a job waits for its tenant's quota rather than for workers."""
         quota_pool = self.quota_pools.get(job.tenant)
-        lane = self.lanes.get(job.service)
-        if quota_pool is None or lane is None:
+        pool = self.pools.get(job.service)
+        if quota_pool is None or pool is None:
             return False
-        return quota_pool.start_delay(job).best_seconds > lane.start_delay(job).best_seconds
+        return quota_pool.start_delay(job).best_seconds > pool.start_delay(job).best_seconds
 
-    def execution_seconds(self, job: HandIn) -> DurationBounds:
+    def execution_seconds(self, job: SubmittedJob) -> DurationBounds:
         """Return the bounds of a job's duration once it has started.
 
         The duration is that of the job's longest chain of steps, or longer if the job needs more
         capacity than the pool has.
         """
         best_seconds, worst_seconds = job.chain_median_seconds, job.chain_upper_seconds
-        for lane in (self.lanes.get(job.service), self.quota_pools.get(job.tenant)):
-            if lane is not None:
-                work = lane.work_of(job)
-                best_seconds = max(best_seconds, work.low / lane.best_case_capacity_factor)
+        for pool in (self.pools.get(job.service), self.quota_pools.get(job.tenant)):
+            if pool is not None:
+                work = pool.work_estimate(job)
+                best_seconds = max(best_seconds, work.low / pool.best_case_capacity_factor)
                 worst_seconds = max(worst_seconds, work.high)
         return DurationBounds(best_seconds, worst_seconds)
 
-    def add(self, job: HandIn) -> None:
+    def add(self, job: SubmittedJob) -> None:
         """Count a job that was admitted after the view was made."""
-        lane = self.lanes.get(job.service)
-        if lane is None:
+        pool = self.pools.get(job.service)
+        if pool is None:
             return
-        lane.add(job)
+        pool.add(job)
         quota_pool = self.quota_pools.get(job.tenant)
         if quota_pool is not None:
             quota_pool.add(job)
@@ -95,12 +95,12 @@
                 admitted_needs = minus(admitted_needs, times(step.needs, -step.task_count))
         self._admitted_needs[job.service] = admitted_needs
 
-    def would_expire_late_job(self, job: HandIn) -> bool:
+    def would_expire_late_job(self, job: SubmittedJob) -> bool:
         """Return whether admitting a job would make an admitted late job expire."""
-        lane = self.lanes.get(job.service)
-        return lane is not None and lane.would_expire_late_job(job)
+        pool = self.pools.get(job.service)
+        return pool is not None and pool.would_expire_late_job(job)
 
-    def has_capacity_for(self, job: HandIn) -> bool:
+    def has_capacity_for(self, job: SubmittedJob) -> bool:
         """Return whether all tasks of the job's first steps could start now."""
         workers = self.free_capacity.get(job.service, [])
         admitted_needs = self._admitted_needs.get(job.service, Needs())
@@ -108,7 +108,7 @@
             _fits(step, workers, admitted_needs) for step in job.steps if step.is_first
         ) and self._is_within_quota(job)
 
-    def _is_within_quota(self, job: HandIn) -> bool:
+    def _is_within_quota(self, job: SubmittedJob) -> bool:
         quota_pool = self.quota_pools.get(job.tenant)
         if quota_pool is None:
             return True
--- a/src/onyxspoke/core/admission/view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -8,11 +8,11 @@
 from typing import NamedTuple
 
 from onyxspoke.core.admission.arrivals import ArrivalMeter, RankClass, rank_class_of
-from onyxspoke.core.admission.hand_in import min_task_seconds
-from onyxspoke.core.admission.lane import HeldCapacity, Lane, dominant_share
+from onyxspoke.core.admission.late_job_margins import LateWork
 from onyxspoke.core.admission.load_view import FreeCapacity, LoadView
-from onyxspoke.core.admission.promises import LateWork
-from onyxspoke.core.admission.waiting_line import HORIZONS_SECONDS, WaitingWork
+from onyxspoke.core.admission.resource_pool import HeldCapacity, ResourcePool, dominant_share
+from onyxspoke.core.admission.submitted_job import min_task_seconds
+from onyxspoke.core.admission.waiting_work import HORIZONS_SECONDS, WaitingWork
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.estimates.expected import Expected
 from onyxspoke.core.jobs.amounts import plus
@@ -20,12 +20,12 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.jobs.states import RunState
-from onyxspoke.core.placement.forecast import TELLING_PERCENT, remaining_seconds
+from onyxspoke.core.placement.forecast import RELIABLE_PROGRESS_PERCENT, remaining_seconds
 from onyxspoke.core.placement.queue_order import (
     EXPIRY_FACTOR,
     Lateness,
     StepRank,
-    step_rank_of,
+    step_rank_in_queue,
 )
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerListing
@@ -52,7 +52,7 @@
     latest_start_at: float
 
 
-class Load(NamedTuple):
+class LoadInputs(NamedTuple):
     """The state from which a view is built.
 
     Attributes
@@ -61,7 +61,7 @@
         Time that a run takes to stop when it is preempted.
     arrivals : ArrivalMeter
         Rates of recently admitted work.
-    awaited : iterable of ExpectedRetry
+    expected_retries : iterable of ExpectedRetry
         Work of refused jobs that are expected to be retried.
     """
 
@@ -71,7 +71,7 @@
     durations: Durations
     stop_seconds: float
     arrivals: ArrivalMeter
-    awaited: Iterable[ExpectedRetry] = ()
+    expected_retries: Iterable[ExpectedRetry] = ()
 
 
 class _WaitingStep(NamedTuple):
@@ -85,14 +85,14 @@
     slack_seconds: float
 
 
-def build_view(inputs: Load, now: float) -> LoadView:
+def build_load_view(inputs: LoadInputs, now: float) -> LoadView:
     """Return a view of the current load."""
     builder = _LoadViewBuilder(inputs, now)
     return builder.build()
 
 
 class _LoadViewBuilder:
-    def __init__(self, inputs: Load, now: float) -> None:
+    def __init__(self, inputs: LoadInputs, now: float) -> None:
         self._inputs = inputs
         self._now = now
         self._expected_duration = _cache_expected(inputs.durations)
@@ -111,8 +111,8 @@
             run for worker in self._inputs.table.workers.values() for run in worker.runs.values()
         ]
         quota_pools = self._make_quota_pools(held)
-        lanes, free_capacity = self._make_pools()
-        return LoadView(self._now, lanes, self._quotas, quota_pools, free_capacity)
+        pools, free_capacity = self._make_pools()
+        return LoadView(self._now, pools, self._quotas, quota_pools, free_capacity)
 
     # Waiting work
 
@@ -122,13 +122,13 @@
         spec = step.job.spec
         queue = self._inputs.policy.queue_of(spec)
         expected = self._expected_duration(spec.queue.name, spec.tenant, step.spec.estimated_ms)
-        placement_rank = step_rank_of(step, queue, self._now)
+        placement_rank = step_rank_in_queue(step, queue, self._now)
         rank = rank_ignoring_lateness(placement_rank)
         needs = step.needs
         slack_seconds = math.inf
         if placement_rank.lateness is Lateness.LATE:
-            last_use_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
-            slack_seconds = last_use_at - step.expected_chain_seconds - self._now
+            expires_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
+            slack_seconds = expires_at - step.expected_chain_seconds - self._now
         low_seconds, high_seconds = min_task_seconds(expected), max(0.0, expected.upper_seconds)
         waiting_step = _WaitingStep(
             rank, needs, len(step.waiting), low_seconds, high_seconds, slack_seconds
@@ -142,34 +142,34 @@
 
     # Resource pools
 
-    def _make_pools(self) -> tuple[dict[str, Lane], dict[str, list[FreeCapacity]]]:
+    def _make_pools(self) -> tuple[dict[str, ResourcePool], dict[str, list[FreeCapacity]]]:
         workers_by_service: dict[str, list[Worker]] = {}
         for worker in self._inputs.table.workers.values():
-            if worker.contact is not WorkerContact.OVER and worker.listing is WorkerListing.READY:
+            if worker.contact is not WorkerContact.ENDED and worker.listing is WorkerListing.READY:
                 workers_by_service.setdefault(worker.record.service, []).append(worker)
-        lanes = {}
+        pools = {}
         free_capacity = {}
         for service, workers in workers_by_service.items():
-            lane = self._make_pool(service, workers)
-            if lane is not None:
-                lanes[service] = lane
+            pool = self._make_pool(service, workers)
+            if pool is not None:
+                pools[service] = pool
                 free_capacity[service] = self._free_capacity_of(service)
-        return lanes, free_capacity
+        return pools, free_capacity
 
-    def _make_pool(self, service: str, workers: list[Worker]) -> Lane | None:
-        settled = [worker for worker in workers if worker.contact is WorkerContact.SETTLED]
+    def _make_pool(self, service: str, workers: list[Worker]) -> ResourcePool | None:
+        settled = [worker for worker in workers if worker.contact is WorkerContact.RECONCILED]
         total = _sum_capacity(settled)
         if not any(total):
             return None
         waiting_work, late_work = _waiting_work(self._steps_by_service.get(service, []), total)
-        for expected_retry in self._inputs.awaited:
+        for expected_retry in self._inputs.expected_retries:
             if expected_retry.service == service:
                 waiting_work.append(_retry_work(expected_retry))
                 late_work.setdefault(rank_class_of(expected_retry.rank), []).append(
                     self._late_work_of(expected_retry)
                 )
-        unsettled = [worker for worker in workers if worker.contact is not WorkerContact.SETTLED]
-        return Lane(
+        unsettled = [worker for worker in workers if worker.contact is not WorkerContact.RECONCILED]
+        return ResourcePool(
             total=total,
             waiting_work=sorted(waiting_work, key=itemgetter(0)),
             held=self._held_on(settled, total),
@@ -196,19 +196,19 @@
         free_capacity.sort(key=lambda worker: -worker.resources.processors_milli)
         return free_capacity
 
-    def _make_quota_pools(self, runs: list[Run]) -> dict[TenantName, Lane]:
+    def _make_quota_pools(self, runs: list[Run]) -> dict[TenantName, ResourcePool]:
         held: dict[TenantName, list[HeldCapacity]] = {}
         for run in runs:
             tenant = run.task.step.job.spec.tenant
             if tenant in self._quotas:
                 held.setdefault(tenant, []).append(self._held_capacity(run, self._quotas[tenant]))
-        lanes = {}
+        pools = {}
         for tenant, quota in self._quotas.items():
             waiting_work, _unused = _waiting_work(self._steps_by_tenant.get(tenant, []), quota)
-            lanes[tenant] = Lane(
+            pools[tenant] = ResourcePool(
                 quota, sorted(waiting_work, key=itemgetter(0)), held.get(tenant, [])
             )
-        return lanes
+        return pools
 
     def _held_on(self, workers: list[Worker], total: Needs) -> list[HeldCapacity]:
         return [
@@ -242,8 +242,8 @@
         ).median_seconds
         if not run.confirmed_at:
             return duration_seconds
-        if run.percent >= TELLING_PERCENT:
-            duration_seconds = (run.moved_at - run.confirmed_at) / run.percent * _FULL_PERCENT
+        if run.percent >= RELIABLE_PROGRESS_PERCENT:
+            duration_seconds = (run.progressed_at - run.confirmed_at) / run.percent * _FULL_PERCENT
         return max(0.0, duration_seconds - (self._now - run.confirmed_at))
 
 
@@ -256,7 +256,7 @@
     if rank.lateness is Lateness.LATE:
         return StepRank(
             False,
-            rank.is_beyond_share,
+            rank.is_over_share,
             rank.priority,
             Lateness.ON_TIME,
             rank.latest_start,
--- a/src/onyxspoke/core/admission/closings.py
+++ b/src/onyxspoke/core/admission/queue_closures.py
@@ -16,7 +16,7 @@
 REOPEN_DELAY_SECONDS = 1.0
 
 
-class Scope(NamedTuple):
+class ClosureScope(NamedTuple):
     """The jobs that a closure refuses.
 
     An empty ``tenant`` means all jobs of the queue; otherwise the closure applies to jobs of that
@@ -34,13 +34,13 @@
     last_refused_at: float
 
 
-class Closings:
+class QueueClosures:
     """Tracks refusals and derives which queues are closed."""
 
     def __init__(self) -> None:
-        self._closures: dict[Scope, _Closure] = {}
+        self._closures: dict[ClosureScope, _Closure] = {}
 
-    def note_refused(self, scope: Scope, seconds: float, now: float) -> bool:
+    def note_refused(self, scope: ClosureScope, seconds: float, now: float) -> bool:
         """Close a scope for some seconds after a refusal; return whether the closure is new."""
         closed_until = now + min(seconds, MAX_CLOSURE_SECONDS)
         closure = self._closures.get(scope)
@@ -51,17 +51,17 @@
         closure.last_refused_at = now
         return False
 
-    def note_taken(self, scope: Scope, now: float) -> None:
+    def note_admitted(self, scope: ClosureScope, now: float) -> None:
         """End the closure of a scope, because a job in it was admitted."""
         closure = self._closures.get(scope)
         if closure is not None:
             closure.closed_until = min(closure.closed_until, now)
 
-    def closed_scopes(self, now: float) -> list[Scope]:
+    def closed_scopes(self, now: float) -> list[ClosureScope]:
         """Return the scopes that are closed at this time."""
         return [scope for scope, closure in self._closures.items() if closure.closed_until > now]
 
-    def take_opened(self, now: float) -> list[tuple[Scope, float]]:
+    def pop_reopened(self, now: float) -> list[tuple[ClosureScope, float]]:
         """Remove and return the scopes that have reopened, and how many seconds each was closed."""
         reopened = []
         for scope, closure in list(self._closures.items()):
--- a/src/onyxspoke/core/admission/returns.py
+++ b/src/onyxspoke/core/admission/refused_jobs.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.slots import MAX_WAIT_SECONDS, RetrySlot, ServedSeconds
-from onyxspoke.core.admission.view_builder import ExpectedRetry
+from onyxspoke.core.admission.load_view_builder import ExpectedRetry
+from onyxspoke.core.admission.retry_schedule import MAX_WAIT_SECONDS, RetrySchedule, RetrySlot
+from onyxspoke.core.admission.submitted_job import SubmittedJob
 from onyxspoke.core.jobs.model import JobId
 from onyxspoke.core.tenants.policy import TenantName
 
 #: Maximum number of refused jobs that are remembered.
-MAXIMUM_REMEMBERED = 4_096
+MAX_REFUSED_JOBS = 4_096
 HASH_BYTES = 8
 #: A retry that comes at most this late, in seconds, is timely.
 LATE_TOLERANCE_SECONDS = 2.0
@@ -32,16 +32,16 @@
 
 
 @dataclass(slots=True)
-class Refused:
+class RefusedJob:
     """A job that was refused.
 
     Attributes
     ----------
-    first_at : float
+    first_submitted_at : float
         Time of the first submission.
-    last_use_at : float
+    expires_at : float
         Time at which the job expires.
-    is_owed : bool
+    is_entitled : bool
         The job is within its tenant's fair share.
     refusals : int
         Number of consecutive refusals.
@@ -53,9 +53,9 @@
         Reservation for the retry; None once the retry is overdue.
     """
 
-    first_at: float
-    last_use_at: float
-    is_owed: bool
+    first_submitted_at: float
+    expires_at: float
+    is_entitled: bool
     refusals: int
     retry_at: float
     expected_retry: ExpectedRetry
@@ -69,37 +69,37 @@
         )
 
 
-def hash_of(tenant: TenantName, job_id: JobId) -> JobHash:
+def job_hash(tenant: TenantName, job_id: JobId) -> JobHash:
     """Return the hash that identifies a job."""
     digest = blake2b(f"{tenant}/{job_id}".encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
-def longest_wait(job: HandIn, now: float) -> int:
+def max_useful_retry_seconds(job: SubmittedJob, now: float) -> int:
     """Return the maximum retry time, in whole seconds, with which a job still finishes in time."""
-    seconds = job.last_use_at - now - job.chain_upper_seconds - ROUNDING_SECONDS
+    seconds = job.expires_at - now - job.chain_upper_seconds - ROUNDING_SECONDS
     return int(min(max(0.0, seconds), MAX_WAIT_SECONDS))
 
 
-class Returns:
+class RefusedJobs:
     """Remembers refused jobs, and spreads their retries over time."""
 
     def __init__(self) -> None:
-        self._jobs: dict[JobHash, Refused] = {}
-        self.seconds = ServedSeconds()
+        self._jobs: dict[JobHash, RefusedJob] = {}
+        self.retry_schedule = RetrySchedule()
 
     def __len__(self) -> int:
         """Return the number of remembered jobs."""
         return len(self._jobs)
 
-    def find(self, key: JobHash) -> Refused | None:
+    def find(self, key: JobHash) -> RefusedJob | None:
         """Return the record of a refused job, or None if there is none."""
         return self._jobs.get(key)
 
     def refuse(
         self,
         key: JobHash,
-        job: HandIn,
+        job: SubmittedJob,
         work: float,
         wait_seconds: float,
         max_reserved_work: float,
@@ -121,14 +121,14 @@
             If false, a job for which no second is left is not told to retry after it has expired.
         """
         previous = self.forget(key)
-        if len(self._jobs) >= MAXIMUM_REMEMBERED:
+        if len(self._jobs) >= MAX_REFUSED_JOBS:
             self.forget(next(iter(self._jobs)))
         slot = self._reserve_slot(job, work, wait_seconds, max_reserved_work, now, is_load_known)
         retry_seconds = slot.retry_seconds if slot is not None else MAX_WAIT_SECONDS
-        self._jobs[key] = Refused(
-            first_at=job.first_at,
-            last_use_at=job.last_use_at,
-            is_owed=not job.rank.is_beyond_share,
+        self._jobs[key] = RefusedJob(
+            first_submitted_at=job.first_submitted_at,
+            expires_at=job.expires_at,
+            is_entitled=not job.rank.is_over_share,
             refusals=1 if previous is None else previous.refusals + 1,
             retry_at=now + retry_seconds,
             expected_retry=_expected_retry(job, work, now + retry_seconds),
@@ -138,7 +138,7 @@
 
     def _reserve_slot(
         self,
-        job: HandIn,
+        job: SubmittedJob,
         work: float,
         wait_seconds: float,
         max_reserved_work: float,
@@ -149,32 +149,37 @@
 
         A retry in between would be refused again; after the expiry, the job counts as new.
         """
-        reserve = self.seconds.keep_slot
+        reserve = self.retry_schedule.reserve_slot
         slot = reserve(
-            job.service, work, wait_seconds, max_reserved_work, now, longest_wait(job, now)
+            job.service,
+            work,
+            wait_seconds,
+            max_reserved_work,
+            now,
+            max_useful_retry_seconds(job, now),
         )
         if slot is None and not is_load_known:
             retry_seconds = max(1, math.ceil(wait_seconds))
             slot = RetrySlot(job.service, retry_seconds, int(now + retry_seconds), ())
         if slot is None:
-            after_expiry_seconds = max(wait_seconds, job.last_use_at - now)
+            after_expiry_seconds = max(wait_seconds, job.expires_at - now)
             slot = reserve(job.service, work, after_expiry_seconds, max_reserved_work, now)
         return slot
 
-    def forget(self, key: JobHash) -> Refused | None:
+    def forget(self, key: JobHash) -> RefusedJob | None:
         """Remove and return the record of a job, for instance when the job is admitted."""
         refused = self._jobs.pop(key, None)
         if refused is not None and refused.slot is not None:
-            self.seconds.release(refused.slot)
+            self.retry_schedule.release(refused.slot)
         return refused
 
-    def awaited(self, now: float) -> Iterator[ExpectedRetry]:
+    def expected_retries(self, now: float) -> Iterator[ExpectedRetry]:
         """Yield the work of refused jobs whose retry is still expected before they expire.
 
         A job that is told to retry after its expiry may not come, and counts as new if it does.
         """
         for refused in self._jobs.values():
-            is_of_use = refused.retry_at <= refused.last_use_at
+            is_of_use = refused.retry_at <= refused.expires_at
             if (
                 is_of_use
                 and refused.slot is not None
@@ -182,19 +187,19 @@
             ):
                 yield refused.expected_retry
 
-    def keep(self, now: float) -> None:
+    def release_missed(self, now: float) -> None:
         """Release the reservations of overdue retries, and forget those that have expired."""
         for key, refused in list(self._jobs.items()):
             if now <= refused.retry_at + LATE_TOLERANCE_SECONDS:
                 continue
-            if now > refused.last_use_at:
+            if now > refused.expires_at:
                 self.forget(key)
             elif refused.slot is not None:
-                self.seconds.release(refused.slot)
+                self.retry_schedule.release(refused.slot)
                 refused.slot = None
-        self.seconds.forget_before(now)
+        self.retry_schedule.forget_before(now)
 
 
-def _expected_retry(job: HandIn, work: float, retry_at: float) -> ExpectedRetry:
-    latest_start_at = job.last_use_at - job.chain_median_seconds
+def _expected_retry(job: SubmittedJob, work: float, retry_at: float) -> ExpectedRetry:
+    latest_start_at = job.expires_at - job.chain_median_seconds
     return ExpectedRetry(job.service, job.rank, work, retry_at, latest_start_at)
--- a/src/onyxspoke/core/admission/lane.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -13,22 +13,22 @@
     delayed_by_arrivals,
     rank_class_of,
 )
-from onyxspoke.core.admission.hand_in import HandIn
-from onyxspoke.core.admission.promises import LateJobMargins, LateWork
-from onyxspoke.core.admission.room_curve import RoomCurve
-from onyxspoke.core.admission.waiting_line import (
+from onyxspoke.core.admission.free_capacity_curve import FreeCapacityCurve
+from onyxspoke.core.admission.late_job_margins import LateJobMargins, LateWork
+from onyxspoke.core.admission.submitted_job import SubmittedJob
+from onyxspoke.core.admission.waiting_work import (
     HORIZONS_SECONDS,
-    WaitingLine,
     WaitingWork,
+    WaitingWorkQueue,
     WorkEstimate,
     horizon_for,
 )
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
-from onyxspoke.core.placement.reservations import HELD_SHARE
+from onyxspoke.core.placement.reservations import MAX_HELD_CAPACITY_SHARE
 
 #: Share of the capacity that does work in the worst case; waiting gangs may hold the rest idle.
-WORST_CASE_USED_SHARE = 1.0 - HELD_SHARE
+WORST_CASE_USED_SHARE = 1.0 - MAX_HELD_CAPACITY_SHARE
 
 
 def dominant_share(needs: Needs, total: Needs) -> float:
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class ResourcePool:
     """A pool of resources: the workers of a service, or the quota of a tenant.
 
     Work is measured in share-seconds: one share-second uses the whole pool for one second.
@@ -101,13 +101,13 @@
     late_work: dict[RankClass, list[LateWork]] = field(default_factory=dict)
     #: Work of jobs that were admitted after the view was made.
     _admitted: list[WaitingWork] = field(default_factory=list)
-    _queues: dict[float, WaitingLine] = field(default_factory=dict)
+    _queues: dict[float, WaitingWorkQueue] = field(default_factory=dict)
     _margins: dict[RankClass, LateJobMargins] = field(default_factory=dict)
     #: The job for which work was last estimated, and the estimate.
-    _last_estimate: tuple[HandIn, WorkEstimate] | None = None
-    _capacity_curves: dict[tuple[int, bool], RoomCurve] = field(default_factory=dict)
+    _last_estimate: tuple[SubmittedJob, WorkEstimate] | None = None
+    _capacity_curves: dict[tuple[int, bool], FreeCapacityCurve] = field(default_factory=dict)
 
-    def start_delay(self, job: HandIn) -> DurationBounds:
+    def start_delay(self, job: SubmittedJob) -> DurationBounds:
         """Return the bounds of the delay until a job could start."""
         rank = job.rank
         expiry_seconds = EXPIRY_FACTOR * job.objective_seconds
@@ -129,12 +129,12 @@
         worst_seconds = delayed_by_arrivals(max(earliest_seconds, worst_seconds), arrival_rate)
         return DurationBounds(best_seconds, max(best_seconds, worst_seconds))
 
-    def _smallest_task_share(self, job: HandIn) -> float:
+    def _smallest_task_share(self, job: SubmittedJob) -> float:
         """Return the smallest share that one task of the job's first steps takes."""
         shares = [dominant_share(step.needs, self.total) for step in job.steps if step.is_first]
         return min(shares, default=0.0)
 
-    def left_for(self, rank: StepRank) -> float:
+    def share_left_for(self, rank: StepRank) -> float:
         """Return the share of the capacity that arrivals of earlier rank leave for a job."""
         return 1.0 - min(MAX_ARRIVAL_SHARE, self._arrival_rate_before(rank_class_of(rank)))
 
@@ -145,7 +145,7 @@
             if other_class < rank_class
         )
 
-    def would_expire_late_job(self, job: HandIn) -> bool:
+    def would_expire_late_job(self, job: SubmittedJob) -> bool:
         """Return whether admitting a job would make an admitted late job expire.
 
         The duration of the job's longest task is added to its work, because a forecast is no more
@@ -154,22 +154,24 @@
         margins = self._margins_of(rank_class_of(job.rank))
         if margins is None:
             return False
-        work = self.work_of(job)
+        work = self.work_estimate(job)
         return margins.any_expires_after(work.low + work.task_seconds)
 
-    def _queue(self, horizon_seconds: float) -> WaitingLine:
+    def _queue(self, horizon_seconds: float) -> WaitingWorkQueue:
         queue = self._queues.get(horizon_seconds)
         if queue is None:
-            queue = self._queues[horizon_seconds] = WaitingLine(self.waiting_work, horizon_seconds)
+            queue = self._queues[horizon_seconds] = WaitingWorkQueue(
+                self.waiting_work, horizon_seconds
+            )
             for work in self._admitted:
                 queue.add(work)
         return queue
 
-    def add(self, job: HandIn) -> None:
+    def add(self, job: SubmittedJob) -> None:
         """Count a job that was admitted after the view was made."""
         margins = self._margins_of(rank_class_of(job.rank))
         if margins is not None:
-            margins.add(self.work_of(job).low)
+            margins.add(self.work_estimate(job).low)
         for step in job.steps:
             share = dominant_share(step.needs, self.total) * step.task_count
             work = WaitingWork(job.rank, share, step.low_seconds, step.upper_seconds)
@@ -204,13 +206,13 @@
 
         return LateJobMargins(late_work, on_time_work, seconds_until)
 
-    def work_of(self, job: HandIn) -> WorkEstimate:
+    def work_estimate(self, job: SubmittedJob) -> WorkEstimate:
         """Return the work of a job, and the duration of its longest task."""
         if self._last_estimate is None or self._last_estimate[0] is not job:
-            self._last_estimate = (job, self.work_within(job, HORIZONS_SECONDS[-1]))
+            self._last_estimate = (job, self.work_estimate_within(job, HORIZONS_SECONDS[-1]))
         return self._last_estimate[1]
 
-    def work_within(self, job: HandIn, horizon_seconds: float) -> WorkEstimate:
+    def work_estimate_within(self, job: SubmittedJob, horizon_seconds: float) -> WorkEstimate:
         """Return the work of a job, with the duration of each task capped at a horizon."""
         low = high = longest_task_seconds = 0.0
         for step in job.steps:
@@ -222,7 +224,7 @@
             )
         return WorkEstimate(low, high, longest_task_seconds)
 
-    def _capacity_curve(self, priority: int, *, is_best_case: bool = False) -> RoomCurve:
+    def _capacity_curve(self, priority: int, *, is_best_case: bool = False) -> FreeCapacityCurve:
         """Return the capacity that becomes free for a queue of a priority.
 
         In the best case, workers whose contact is not settled are counted, because they may be idle
@@ -240,7 +242,7 @@
 
     def _make_capacity_curve(
         self, priority: int, total: float, held: list[HeldCapacity]
-    ) -> RoomCurve:
+    ) -> FreeCapacityCurve:
         """Return the capacity that becomes free for a queue of a priority.
 
         Preemptible runs of queues with lower priority release their share as soon as they can stop.
@@ -254,4 +256,4 @@
                 seconds = min(seconds, self.stop_seconds)
             if seconds < math.inf:
                 releases.append((seconds, run.share))
-        return RoomCurve(free_share, releases)
+        return FreeCapacityCurve(free_share, releases)
--- a/src/onyxspoke/core/admission/slots.py
+++ b/src/onyxspoke/core/admission/retry_schedule.py
@@ -6,10 +6,10 @@
 from typing import NamedTuple
 
 #: Work that a service can do in one second, in share-seconds.
-WHOLE_SECOND = 1.0
+WORK_PER_SECOND = 1.0
 #: Work of each second, in share-seconds, that may be reserved for jobs that are not urgent; the
 #: rest is left for urgent jobs and for jobs that are refused again.
-PATIENT_SHARE = 0.75
+NON_URGENT_WORK_PER_SECOND = 0.75
 #: Maximum retry time, in seconds.
 MAX_WAIT_SECONDS = 120
 
@@ -26,13 +26,13 @@
     reservations: tuple[tuple[int, float], ...]
 
 
-class ServedSeconds:
+class RetrySchedule:
     """The work that is reserved in each future second for retries, by service."""
 
     def __init__(self) -> None:
         self._reserved: dict[str, dict[int, float]] = {}
 
-    def keep_slot(
+    def reserve_slot(
         self,
         service: str,
         work: float,
@@ -78,12 +78,12 @@
             else:
                 reserved.pop(second, None)
 
-    def kept_work(self, service: str, now: float) -> float:
+    def reserved_work(self, service: str, now: float) -> float:
         """Return the work that is reserved in all future seconds, in share-seconds."""
         reserved = self._reserved.get(service, {})
         return sum(work for second, work in reserved.items() if second > now)
 
-    def kept_in(self, service: str, second: int) -> float:
+    def reserved_work_in(self, service: str, second: int) -> float:
         """Return the work that is reserved in one second, in share-seconds."""
         return self._reserved.get(service, {}).get(second, 0.0)
 
--- a/src/onyxspoke/core/admission/hand_in.py
+++ b/src/onyxspoke/core/admission/submitted_job.py
@@ -9,7 +9,7 @@
 from onyxspoke.core.jobs.amounts import times
 from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy
 from onyxspoke.core.placement.queue_order import (
-    CERTAIN_SHARE,
+    CERTAIN_ESTIMATE_SHARE,
     EXPIRY_FACTOR,
     Lateness,
     StepRank,
@@ -47,12 +47,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class HandIn:
+class SubmittedJob:
     """A submitted job.
 
     Attributes
     ----------
-    first_at : float
+    first_submitted_at : float
         Time of the first submission, on the holder's clock.
     objective_seconds : float
         Time within which the job should finish; 0 or less if it has no objective.
@@ -60,7 +60,7 @@
         Rank that its first step would have in the waiting queue.
     is_finite : bool
         The job is useful once it finishes: it is neither repeated nor long-running.
-    is_awaited : bool
+    is_timely_retry : bool
         The job was refused before, and is retried at the time that its caller was given.
     advice_seconds : float
         Time until the advice queue has answered for its first step.
@@ -72,24 +72,24 @@
     queue: str
     tenant: str
     rank: StepRank
-    first_at: float
+    first_submitted_at: float
     objective_seconds: float
     steps: tuple[StepWork, ...]
     chain_median_seconds: float
     chain_upper_seconds: float
     is_finite: bool = True
-    is_awaited: bool = False
+    is_timely_retry: bool = False
     advice_seconds: float = 0.0
 
     @property
     def objective_ends_at(self) -> float:
         """Time on the holder's clock until which a result meets the objective."""
-        return self.first_at + self.objective_seconds
+        return self.first_submitted_at + self.objective_seconds
 
     @property
-    def last_use_at(self) -> float:
+    def expires_at(self) -> float:
         """Time on the holder's clock at which the job expires: its caller has given up."""
-        return self.first_at + EXPIRY_FACTOR * self.objective_seconds
+        return self.first_submitted_at + EXPIRY_FACTOR * self.objective_seconds
 
     def exceeds_quota(self, quota: Needs) -> bool:
         """Return whether the job can never run within a quota; 0 means no limit."""
@@ -105,17 +105,17 @@
 
 def min_task_seconds(expected: Expected) -> float:
     """Return the lower bound of a task's duration, as the queue order computes it."""
-    return CERTAIN_SHARE * max(0.0, expected.median_seconds)
+    return CERTAIN_ESTIMATE_SHARE * max(0.0, expected.median_seconds)
 
 
-def describe_hand_in(
+def describe_submitted_job(
     spec: JobSpec,
     queue: QueuePolicy,
     durations: Durations,
-    first_at: float,
+    first_submitted_at: float,
     *,
-    is_awaited: bool = False,
-) -> HandIn:
+    is_timely_retry: bool = False,
+) -> SubmittedJob:
     """Return the description of a job that the admission decision works on."""
     steps = tuple(_estimate_steps(spec, durations))
     median_seconds, upper_seconds = _longest_chain_seconds(spec, steps)
@@ -123,20 +123,20 @@
     objective_seconds = (
         spec.queue.stretch * median_seconds + spec.queue.target_latency_ms / _MS_PER_SECOND
     )
-    latest_start = first_at + objective_seconds - median_seconds
-    rank = StepRank(False, spec.is_beyond_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
-    return HandIn(
+    latest_start = first_submitted_at + objective_seconds - median_seconds
+    rank = StepRank(False, spec.is_over_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
+    return SubmittedJob(
         service=queue.service,
         queue=queue.name,
         tenant=spec.tenant,
         rank=rank,
-        first_at=first_at,
+        first_submitted_at=first_submitted_at,
         objective_seconds=objective_seconds,
         steps=steps,
         chain_median_seconds=median_seconds,
         chain_upper_seconds=upper_seconds,
         is_finite=not spec.schedule.count and not any(step.long_running for step in spec.steps),
-        is_awaited=is_awaited,
+        is_timely_retry=is_timely_retry,
     )
 
 
--- a/src/onyxspoke/core/admission/summary.py
+++ b/src/onyxspoke/core/admission/summary.py
@@ -9,7 +9,7 @@
 import msgspec
 
 #: Maximum size of a summary in a heartbeat, in bytes.
-SUMMARY_BYTES = 1_024
+MAX_SUMMARY_BYTES = 1_024
 _encoder = msgspec.msgpack.Encoder()
 #: Additional bytes in the header of a long array, compared with a short one.
 _ARRAY_HEADER_BYTES = 4
@@ -47,23 +47,25 @@
     notices: tuple[QueueNotice, ...] = ()
 
 
-def size_of_summary(summary: AdmissionSummary) -> int:
+def summary_size_bytes(summary: AdmissionSummary) -> int:
     """Return the encoded size of a summary in bytes."""
     return len(_encoder.encode(summary))
 
 
-def bound_summary(summary: AdmissionSummary, max_bytes: int = SUMMARY_BYTES) -> AdmissionSummary:
+def truncate_summary(
+    summary: AdmissionSummary, max_bytes: int = MAX_SUMMARY_BYTES
+) -> AdmissionSummary:
     """Return the summary, without as many notices as needed to keep it within a size.
 
     Queues that are closed for longer are kept first; a queue that is left out counts as open.
     """
-    if size_of_summary(summary) <= max_bytes:
+    if summary_size_bytes(summary) <= max_bytes:
         return summary
     notices = sorted(summary.notices, key=lambda notice: -notice.closed_seconds)
     kept: list[QueueNotice] = []
     # A long array has a longer header than the empty one that is measured here.
     total_bytes = (
-        size_of_summary(msgspec.structs.replace(summary, notices=())) + _ARRAY_HEADER_BYTES
+        summary_size_bytes(msgspec.structs.replace(summary, notices=())) + _ARRAY_HEADER_BYTES
     )
     for notice in notices:
         notice_bytes = len(_encoder.encode(notice))
--- a/src/onyxspoke/core/admission/board.py
+++ b/src/onyxspoke/core/admission/summary_cache.py
@@ -45,7 +45,7 @@
     made_at: float
 
 
-class AdmissionBoard:
+class AdmissionSummaryCache:
     """Caches the newest admission summary of each shard.
 
     Parameters
@@ -69,7 +69,7 @@
         if cached is not None and cached.summary.token < token:
             del self._summaries[shard]
 
-    def take(self, shard: ShardId, summary: AdmissionSummary, now: float) -> None:
+    def update(self, shard: ShardId, summary: AdmissionSummary, now: float) -> None:
         """Store a summary, unless it is older than the cached one or from a previous holder."""
         age_seconds = summary.age_seconds
         if summary.token < self._newest_tokens.get(shard, -1) or not 0.0 <= age_seconds < math.inf:
--- a/src/onyxspoke/core/admission/verdict.py
+++ b/src/onyxspoke/core/admission/verdict.py
@@ -15,12 +15,13 @@
 
     ``TOO_LATE``: the job expires before it finishes, even in the best case.  ``IN_DOUBT``: the job
     expires in the worst case and its tenant is not entitled to it, or admitting it would make an
-    admitted late job expire.  ``STORE_AWAY``: the store does not answer, so no job can be accepted.
+    admitted late job expire.  ``STORE_UNREACHABLE``: the store does not answer, so no job can be
+    accepted.
     """
 
     TOO_LATE = "too_late"
     IN_DOUBT = "in_doubt"
-    STORE_AWAY = "store_in_trouble"
+    STORE_UNREACHABLE = "store_in_trouble"
     #: No holder can be reached, and the last summary said that the queue is closed.
     CLOSED = "queue_closed"
 
@@ -32,7 +33,7 @@
 )
 
 
-def is_for_load(reason: str) -> bool:
+def is_load_refusal(reason: str) -> bool:
     """Return whether the reason of a refusal, as in a reply, is load rather than a fault."""
     return reason in _LOAD_REASONS
 
--- a/src/onyxspoke/core/admission/waiting_line.py
+++ b/src/onyxspoke/core/admission/waiting_work.py
@@ -45,7 +45,7 @@
     return HORIZONS_SECONDS[min(bisect_left(HORIZONS_SECONDS, seconds), len(HORIZONS_SECONDS) - 1)]
 
 
-class WaitingLine:
+class WaitingWorkQueue:
     """Waiting work in queue order, and work that was added after it was sorted.
 
     Parameters
--- a/src/onyxspoke/core/estimates/durations.py
+++ b/src/onyxspoke/core/estimates/durations.py
@@ -178,9 +178,9 @@
 
     def _note_gang_end(self, gang: GangRun, now: float) -> None:
         """All members end with the slowest, so that a gang tells one thing."""
-        if gang.is_told:
+        if gang.is_duration_recorded:
             return
-        gang.is_told = True
+        gang.is_duration_recorded = True
         if gang_tells_nothing(gang, self.watched_since):
             return
         began = max(member.confirmed_at for member in gang.members)
--- a/src/onyxspoke/core/estimates/evidence.py
+++ b/src/onyxspoke/core/estimates/evidence.py
@@ -156,7 +156,7 @@
         or not run.confirmed_at
         or run.confirmed_at < watched_since
         or run.pace_percent != _FULL_PERCENT
-        or run.pace_wanted != _FULL_PERCENT
+        or run.ordered_pace_percent != _FULL_PERCENT
         or _is_far(run)
     )
 
@@ -226,5 +226,5 @@
     slowest, *others = sorted(gang.members, key=lambda member: member.percent)
     if not others or others[0].percent < _FULL_PERCENT or slowest.percent == _FULL_PERCENT:
         return None
-    others_done_at = max(member.moved_at for member in others)
+    others_done_at = max(member.progressed_at for member in others)
     return slowest if now - others_done_at >= GANG_BEHIND_SHARE * seconds else None
--- a/src/onyxspoke/core/jobs/model.py
+++ b/src/onyxspoke/core/jobs/model.py
@@ -155,7 +155,7 @@
         orders what waits.
     tenant : str
         For whom it runs; empty where there are no tenants.
-    is_beyond_share : bool
+    is_over_share : bool
         Its tenant had handed in more than its weight; what others are owed goes first.
     """
 
@@ -166,4 +166,4 @@
     schedule: Schedule = Schedule()
     accepted_at_ms: int = 0
     tenant: str = ""
-    is_beyond_share: bool = False
+    is_over_share: bool = False
--- a/src/onyxspoke/core/placement/advice_desk.py
+++ b/src/onyxspoke/core/placement/advice_dispatcher.py
@@ -11,16 +11,16 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, StepKey, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import batches
 from onyxspoke.core.placement.advice_entries import AdviceEntries
 from onyxspoke.core.placement.advice_forecast import LineForecast
-from onyxspoke.core.placement.advice_line import AdviceCall, AdviceLine
-from onyxspoke.core.placement.advice_notices import (
+from onyxspoke.core.placement.advice_log_events import (
     AdviceNotice,
     advisor_doubted,
     advisor_regained,
     step_put_off,
 )
+from onyxspoke.core.placement.advice_queue import AdviceCall, AdviceQueue
+from onyxspoke.core.placement.advice_targets import batches
 from onyxspoke.core.placement.queue_order import StepRank
 from onyxspoke.core.placement.step_advice import GoodShare, StepAdvice, note_answer
 from onyxspoke.core.shard.log_records import ShardId
@@ -34,24 +34,24 @@
 STALL_SECONDS = 0.1
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Keeps advice by step and hands out the calls.
 
     Parameters
     ----------
     shard : int
         Whose holder asks; holders of other shards use the same entries.
-    has_shares : bool
+    uses_fair_shares : bool
         Whether the line is a resource with shares: steps that are not owed take only what owed
         ones leave, calls that are wanted no longer go, and calls out with an entry that does not
         answer are made elsewhere at once.
     """
 
-    def __init__(self, shard: ShardId = 0, has_shares: bool = False) -> None:
-        self.has_shares = has_shares
+    def __init__(self, shard: ShardId = 0, uses_fair_shares: bool = False) -> None:
+        self.uses_fair_shares = uses_fair_shares
         self._steps: dict[StepKey, StepAdvice] = {}
-        self._entries = AdviceEntries(shard, has_shares)
-        self._line = AdviceLine(has_shares)
+        self._entries = AdviceEntries(shard, uses_fair_shares)
+        self._line = AdviceQueue(uses_fair_shares)
         self._under_way: dict[int, AdviceCall] = {}
         #: Calls that were given up, whose answers may come yet.
         self._given_up: dict[int, AdviceCall] = {}
@@ -65,16 +65,16 @@
         self._passed_at = math.inf
         self._was_late = False
         #: Whether calls went back into the line since the last pass.
-        self.has_moved_calls = False
+        self.has_requeued_calls = False
 
-    def set_advisors(self, names: list[str], now: float) -> None:
+    def set_advice_entries(self, names: list[str], now: float) -> None:
         """Take the entries through which calls can go, the holder first; others' are lost."""
         self._entries.set_names(names)
         for call in list(self._under_way.values()):
-            if self._entries.find(call.advisor) is None:
+            if self._entries.find(call.entry_name) is None:
                 self._give_up(call, now, "gone")
 
-    def advice_on(self, step: StepProgress) -> StepAdvice:
+    def advice_for(self, step: StepProgress) -> StepAdvice:
         """Return what is known about a step."""
         advice = self._steps.get(step.key)
         if advice is None:
@@ -85,12 +85,12 @@
         """Return what is known about a step, if it was ever asked about."""
         return self._steps.get(key)
 
-    def workers_asked(self, key: StepKey) -> set[WorkerId]:
+    def queried_worker_ids(self, key: StepKey) -> set[WorkerId]:
         """Return the workers about which the answers on a step were received."""
         advice = self._steps.get(key)
-        return set() if advice is None else advice.asked
+        return set() if advice is None else advice.queried_workers
 
-    def good_share(self, queue: str) -> float:
+    def approval_rate(self, queue: str) -> float:
         """Return which share of the workers is good for a queue's steps, by the answers so far."""
         return self._shares.get(queue, GoodShare()).value
 
@@ -99,7 +99,7 @@
         self._steps.pop(key, None)
         self._line.take_step(key)
 
-    def want(
+    def request_advice(
         self,
         step: StepProgress,
         policy: AdvicePolicy,
@@ -108,8 +108,8 @@
         now: float,
     ) -> None:
         """Ask about a step, unless that is under way; the lowest rank is asked first."""
-        advice = self.advice_on(step)
-        if advice.is_asking or now < advice.retry_at or not worker_ids:
+        advice = self.advice_for(step)
+        if advice.has_open_calls or now < advice.retry_at or not worker_ids:
             return
         for chosen in batches(step, policy, worker_ids):
             seconds = policy.call_seconds(len(chosen))
@@ -119,7 +119,7 @@
             call = AdviceCall(number, step, queue, chosen, seconds, rank, now, number)
             advice.open_calls.add(number)
             self._entries.places.note_call(seconds, now)
-            if rank.is_owed:
+            if rank.is_entitled:
                 self._entries.places.note_owed(seconds, now)
             self._line.add(call, now)
 
@@ -131,20 +131,20 @@
                     self._give_up(call, now, "overdue")
         self._forget_given_up(now)
         self._entries.begin_pass(now)
-        if self.has_shares:
+        if self.uses_fair_shares:
             self._drop_unwanted(now)
         started, left = [], []
         for call in self._line.in_order():
-            advisor = self._entries.choose(call, now)
-            if advisor is None:
+            entry_name = self._entries.choose(call, now)
+            if entry_name is None:
                 left.append(call)
                 continue
             self._line.take(call.number)
-            self._entries.begin(call, advisor, now)
+            self._entries.begin(call, entry_name, now)
             self._under_way[call.call_id] = call
             started.append(call)
         self._forecast = LineForecast(left, self._entries, now)
-        self.has_moved_calls = False
+        self.has_requeued_calls = False
         return started
 
     def handle_result(self, call_id: int, result: AdviceResult, now: float) -> StepKey | None:
@@ -169,10 +169,10 @@
             return 0.0
         return self._forecast.wait_seconds(call_seconds, rank, now)
 
-    def take_notices(self, now: float) -> list[AdviceNotice]:
+    def take_log_events(self, now: float) -> list[AdviceNotice]:
         """Return what is to be told since the last call."""
         notices, self._notices = self._notices, []
-        if self.has_shares:
+        if self.uses_fair_shares:
             notices += [
                 AdviceNotice("advice_line", fields) for fields in self._line.take_report(now)
             ]
@@ -189,7 +189,7 @@
         """Another life has the name: tickets were for the former one, and it may be of any kind."""
         for advice in self._steps.values():
             advice.tickets.pop(worker_id, None)
-            advice.asked.discard(worker_id)
+            advice.queried_workers.discard(worker_id)
 
     def drop_ticket(self, step: StepKey, worker_id: WorkerId) -> None:
         """A worker refused a ticket; it is not used again."""
@@ -199,7 +199,7 @@
 
     def note_put_off(self, step: StepProgress, ahead_milli: int, room_milli: int) -> None:
         """A step does not ask yet, because what goes before it takes the room; told once."""
-        advice = self.advice_on(step)
+        advice = self.advice_for(step)
         if not advice.is_put_off:
             advice.is_put_off = True
             self._notices.append(step_put_off(step.key, ahead_milli, room_milli))
@@ -207,7 +207,7 @@
     def _may_be_unread(self, now: float) -> bool:
         """Return whether no call is judged now: the process stood still, and has just gone on."""
         pause, self._passed_at = now - self._passed_at, now
-        self._was_late = self.has_shares and pause > STALL_SECONDS and not self._was_late
+        self._was_late = self.uses_fair_shares and pause > STALL_SECONDS and not self._was_late
         return self._was_late
 
     def _take_answer(self, call: AdviceCall, result: AdviceResult, now: float) -> StepKey | None:
@@ -224,7 +224,7 @@
         call = self._given_up.pop(call_id, None)
         if call is None or result.outcome is not AdviceOutcome.ANSWERED:
             return None
-        if self.has_shares:
+        if self.uses_fair_shares:
             self._entries.note_pace(call, now)
             self._note_trust(call, now)
             if self._line.take(call.number) is not None:
@@ -253,20 +253,20 @@
 
     def _give_up(self, call: AdviceCall, now: float, reason: str) -> None:
         """A call was not answered; with shares it is made elsewhere, as all out with its entry."""
-        advisor = self._entries.find(call.advisor)
-        is_new = advisor is not None and self._entries.doubt(advisor, now)
+        entry_name = self._entries.find(call.entry_name)
+        is_new = entry_name is not None and self._entries.doubt(entry_name, now)
         out = [call]
-        if self.has_shares and advisor is not None:
-            out = list(advisor.out.values())
+        if self.uses_fair_shares and entry_name is not None:
+            out = list(entry_name.out.values())
         for item in out:
             self._end(item, now)
             self._given_up[item.call_id] = item
-            if self.has_shares:
+            if self.uses_fair_shares:
                 self._make_again(item, now)
             else:
                 self._put_off(item, now)
-        if is_new and advisor is not None:
-            self._notices.append(advisor_doubted(advisor, reason, len(out), now))
+        if is_new and entry_name is not None:
+            self._notices.append(advisor_doubted(entry_name, reason, len(out), now))
 
     def _put_off(self, call: AdviceCall, now: float) -> None:
         advice = self._steps.get(call.step)
@@ -281,13 +281,13 @@
         if advice is None or call.number not in advice.open_calls:
             return
         self._last_call_id += 1
-        again = replace(call, call_id=self._last_call_id, tries=call.tries + 1, advisor="")
+        again = replace(call, call_id=self._last_call_id, tries=call.tries + 1, entry_name="")
         self._line.add(again, now)
-        self.has_moved_calls = True
+        self.has_requeued_calls = True
 
     def _note_trust(self, call: AdviceCall, now: float) -> None:
-        advisor = self._entries.find(call.advisor)
-        if not self.has_shares or advisor is None or not advisor.doubts:
+        entry_name = self._entries.find(call.entry_name)
+        if not self.uses_fair_shares or entry_name is None or not entry_name.doubts:
             return
-        doubts = self._entries.trust(advisor, now)
-        self._notices.append(advisor_regained(advisor, doubts, now))
+        doubts = self._entries.trust(entry_name, now)
+        self._notices.append(advisor_regained(entry_name, doubts, now))
--- a/src/onyxspoke/core/placement/advice_entries.py
+++ b/src/onyxspoke/core/placement/advice_entries.py
@@ -11,11 +11,11 @@
 import zlib
 from dataclasses import dataclass, field
 
-from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import (
+from onyxspoke.core.placement.advice_queue import AdviceCall
+from onyxspoke.core.placement.entry_partition import (
     SHORT_CALL_SECONDS,
-    AdvicePlaces,
     CallLength,
+    EntryPartition,
     length_of,
 )
 from onyxspoke.core.shard.log_records import ShardId
@@ -68,7 +68,7 @@
 
     def carries_others(self) -> bool:
         """Return whether it carries a call of a step that is not owed."""
-        return any(not call.rank.is_owed for call in self.out.values())
+        return any(not call.rank.is_entitled for call in self.out.values())
 
 
 class AdviceEntries:
@@ -78,18 +78,18 @@
     ----------
     shard : int
         Whose holder asks; holders of other shards use the same entries.
-    has_shares : bool
+    uses_fair_shares : bool
         Whether steps that are not owed get only what owed ones leave, and entries that do not
         answer are left out of the count.
     """
 
-    def __init__(self, shard: ShardId, has_shares: bool) -> None:
+    def __init__(self, shard: ShardId, uses_fair_shares: bool) -> None:
         self._shard = shard
-        self._has_shares = has_shares
+        self._has_shares = uses_fair_shares
         self._all: dict[str, Advisor] = {}
         #: Those that carry calls now, in their order.
         self.usable: list[Advisor] = []
-        self.places = AdvicePlaces()
+        self.places = EntryPartition()
         #: How long the latest answer took, as a share of what the policy says.
         self._slowness = 1.0
         #: How late answers come, in seconds, and by how much that differs.
@@ -103,10 +103,10 @@
         former = self._all
         self._all = {}
         for position, name in enumerate(names):
-            advisor = former.get(name) or Advisor(name, 0, position)
-            advisor.position = position
-            advisor.preference = self._preference(name, position)
-            self._all[name] = advisor
+            entry_name = former.get(name) or Advisor(name, 0, position)
+            entry_name.position = position
+            entry_name.preference = self._preference(name, position)
+            self._all[name] = entry_name
         self.usable = list(self._all.values())
 
     def find(self, name: str) -> Advisor | None:
@@ -120,44 +120,48 @@
         if not self._has_shares:
             self.usable = everyone
             return
-        answering = [advisor for advisor in everyone if now >= advisor.doubted_until]
+        answering = [entry_name for entry_name in everyone if now >= entry_name.doubted_until]
         self.usable = answering or [
-            advisor for advisor in everyone if now >= advisor.doubted_at + LAST_RESORT_SECONDS
+            entry_name
+            for entry_name in everyone
+            if now >= entry_name.doubted_at + LAST_RESORT_SECONDS
         ]
-        for position, advisor in enumerate(self.usable):
-            advisor.position = position
+        for position, entry_name in enumerate(self.usable):
+            entry_name.position = position
 
     def choose(self, call: AdviceCall, now: float) -> Advisor | None:
         """Return the entry that takes a call now, if there is one."""
         if not self._has_shares:
             return self._choose_soonest(call, now)
-        kind = (length_of(call.seconds), call.rank.is_owed)
+        kind = (length_of(call.seconds), call.rank.is_entitled)
         if call.seconds <= self._refused.get(kind, -1.0):
             return None
         chosen = (
-            self._choose_soonest(call, now) if call.rank.is_owed else self._choose_idle(call, now)
+            self._choose_soonest(call, now)
+            if call.rank.is_entitled
+            else self._choose_idle(call, now)
         )
         if chosen is None:
             self._refused[kind] = call.seconds
         return chosen
 
-    def begin(self, call: AdviceCall, advisor: Advisor, now: float) -> None:
+    def begin(self, call: AdviceCall, entry_name: Advisor, now: float) -> None:
         """A call goes out through an entry."""
-        call.advisor = advisor.name
-        call.begun_at = max(advisor.free_at, now)
-        advisor.free_at = call.begun_at + self._seconds_at(call, advisor)
-        advisor.out[call.call_id] = call
-        call.overdue_at = self._overdue_at(call, advisor)
+        call.entry_name = entry_name.name
+        call.begun_at = max(entry_name.free_at, now)
+        entry_name.free_at = call.begun_at + self._seconds_at(call, entry_name)
+        entry_name.out[call.call_id] = call
+        call.overdue_at = self._overdue_at(call, entry_name)
 
     def end(self, call: AdviceCall, now: float) -> None:
         """A call is out no more, whatever became of it."""
-        advisor = self._all.get(call.advisor)
-        if advisor is None or advisor.out.pop(call.call_id, None) is None:
+        entry_name = self._all.get(call.entry_name)
+        if entry_name is None or entry_name.out.pop(call.call_id, None) is None:
             return
-        if not advisor.out:
-            advisor.free_at = now
+        if not entry_name.out:
+            entry_name.free_at = now
         elif self._has_shares:
-            self._begin_next(advisor, now)
+            self._begin_next(entry_name, now)
 
     def note_answer(self, call: AdviceCall, now: float) -> None:
         """A call was answered: learn how long that takes."""
@@ -170,52 +174,56 @@
 
     def note_pace(self, call: AdviceCall, now: float) -> None:
         """A call was answered, in time or not: learn how slow its entry is."""
-        advisor = self._all.get(call.advisor)
-        if advisor is not None:
+        entry_name = self._all.get(call.entry_name)
+        if entry_name is not None:
             ratio = (now - call.begun_at) / max(call.seconds, TELLING_SECONDS)
-            advisor.slowness += 0.5 * (min(max(ratio, 1.0), SLOWEST_FACTOR) - advisor.slowness)
+            entry_name.slowness += 0.5 * (
+                min(max(ratio, 1.0), SLOWEST_FACTOR) - entry_name.slowness
+            )
 
-    def doubt(self, advisor: Advisor, now: float) -> bool:
+    def doubt(self, entry_name: Advisor, now: float) -> bool:
         """A call was not answered in time; return whether the entry was not doubted before."""
         if not self._has_shares:
-            advisor.doubted_until = now + DOUBT_SECONDS
+            entry_name.doubted_until = now + DOUBT_SECONDS
             return False
-        if now < advisor.doubted_until and now < advisor.doubted_at + LAST_RESORT_SECONDS:
+        if now < entry_name.doubted_until and now < entry_name.doubted_at + LAST_RESORT_SECONDS:
             return False
-        doublings = min(advisor.doubts, MAXIMUM_DOUBLINGS)
+        doublings = min(entry_name.doubts, MAXIMUM_DOUBLINGS)
         pause = min(DOUBT_SECONDS * 2.0**doublings, LONGEST_DOUBT_SECONDS)
-        advisor.doubts += 1
-        advisor.doubted_at = now
-        advisor.doubted_until = now + pause
+        entry_name.doubts += 1
+        entry_name.doubted_at = now
+        entry_name.doubted_until = now + pause
         return True
 
-    def trust(self, advisor: Advisor, now: float) -> int:
+    def trust(self, entry_name: Advisor, now: float) -> int:
         """An entry has answered; return how often in a row it was doubted."""
-        doubts, advisor.doubts = advisor.doubts, 0
-        advisor.doubted_until = min(advisor.doubted_until, now)
+        doubts, entry_name.doubts = entry_name.doubts, 0
+        entry_name.doubted_until = min(entry_name.doubted_until, now)
         return doubts
 
     def next_trial_at(self) -> float:
         """Return when the next entry that is doubted may carry a call; infinity if none is."""
-        return min((advisor.doubted_until for advisor in self._all.values()), default=math.inf)
+        return min(
+            (entry_name.doubted_until for entry_name in self._all.values()), default=math.inf
+        )
 
     def _choose_soonest(self, call: AdviceCall, now: float) -> Advisor | None:
         """Return the entry that is free first, unless that takes longer than the call."""
         first, behind = self.places.places_for(call.seconds, len(self.usable), now)
         best: Advisor | None = None
         best_score = (1, math.inf, 0, 0, 0)
-        for advisor in self.usable:
-            if advisor.position < first or not self._may_take(advisor):
+        for entry_name in self.usable:
+            if entry_name.position < first or not self._may_take(entry_name):
                 continue
-            is_doubted = int(now < advisor.doubted_until)
+            is_doubted = int(now < entry_name.doubted_until)
             # A slow entry counts as free by so much later as it takes longer.
-            extra = self._seconds_at(call, advisor) - call.seconds
-            free_at = max(advisor.free_at, now) + extra
-            is_elsewhere = int(advisor.position >= behind)
-            on_trial = int(self._has_shares and advisor.doubts > 0)
-            score = (is_doubted, free_at, on_trial, is_elsewhere, advisor.preference)
+            extra = self._seconds_at(call, entry_name) - call.seconds
+            free_at = max(entry_name.free_at, now) + extra
+            is_elsewhere = int(entry_name.position >= behind)
+            on_trial = int(self._has_shares and entry_name.doubts > 0)
+            score = (is_doubted, free_at, on_trial, is_elsewhere, entry_name.preference)
             if score < best_score:
-                best, best_score = advisor, score
+                best, best_score = entry_name, score
         if best is None or best.free_at - now > call.seconds:
             return None
         return best
@@ -229,33 +237,33 @@
         first, behind = self.places.places_for(call.seconds, len(self.usable), now)
         places = self.usable[first:behind]
         most = self.places.left_over(length_of(call.seconds), len(places), now)
-        if sum(advisor.carries_others() for advisor in places) >= most:
+        if sum(entry_name.carries_others() for entry_name in places) >= most:
             return None
-        idle = [advisor for advisor in places if not advisor.out]
+        idle = [entry_name for entry_name in places if not entry_name.out]
         return min(idle, key=_by_trial, default=None)
 
-    def _may_take(self, advisor: Advisor) -> bool:
-        on_trial = self._has_shares and advisor.doubts > 0
-        return len(advisor.out) < (1 if on_trial else MAXIMUM_CALLS_EACH)
+    def _may_take(self, entry_name: Advisor) -> bool:
+        on_trial = self._has_shares and entry_name.doubts > 0
+        return len(entry_name.out) < (1 if on_trial else MAXIMUM_CALLS_EACH)
 
-    def _begin_next(self, advisor: Advisor, now: float) -> None:
+    def _begin_next(self, entry_name: Advisor, now: float) -> None:
         """The call that waited behind another begins only now."""
-        advisor.free_at = now
-        for call in advisor.out.values():
-            call.begun_at = advisor.free_at
-            advisor.free_at += self._seconds_at(call, advisor)
-            call.overdue_at = self._overdue_at(call, advisor)
+        entry_name.free_at = now
+        for call in entry_name.out.values():
+            call.begun_at = entry_name.free_at
+            entry_name.free_at += self._seconds_at(call, entry_name)
+            call.overdue_at = self._overdue_at(call, entry_name)
 
-    def _seconds_at(self, call: AdviceCall, advisor: Advisor) -> float:
-        is_slow = self._has_shares and advisor.slowness > SLOW_FACTOR
-        return call.seconds * advisor.slowness if is_slow else call.seconds
+    def _seconds_at(self, call: AdviceCall, entry_name: Advisor) -> float:
+        is_slow = self._has_shares and entry_name.slowness > SLOW_FACTOR
+        return call.seconds * entry_name.slowness if is_slow else call.seconds
 
-    def _overdue_at(self, call: AdviceCall, advisor: Advisor) -> float:
+    def _overdue_at(self, call: AdviceCall, entry_name: Advisor) -> float:
         expected = call.seconds * max(1.0, self._slowness)
         if not self._has_shares:
             return call.begun_at + OVERDUE_FACTOR * expected + OVERDUE_SECONDS
         expected = min(expected, call.seconds * SLOWEST_SERVICE)
-        expected = max(expected, self._seconds_at(call, advisor))
+        expected = max(expected, self._seconds_at(call, entry_name))
         usual = self._lateness + USUAL_DEVIATIONS * self._deviation
         late = min(max(usual, PROMPT_OVERDUE_SECONDS), OVERDUE_SECONDS)
         # A further try waits longer, so that a service that is slow as a whole gets no more
@@ -272,5 +280,5 @@
         return zlib.crc32(f"{self._shard}/{name}".encode()) if position else -1
 
 
-def _by_trial(advisor: Advisor) -> tuple[bool, int]:
-    return advisor.doubts > 0, advisor.preference
+def _by_trial(entry_name: Advisor) -> tuple[bool, int]:
+    return entry_name.doubts > 0, entry_name.preference
--- a/src/onyxspoke/core/placement/advice_forecast.py
+++ b/src/onyxspoke/core/placement/advice_forecast.py
@@ -11,8 +11,8 @@
 from itertools import accumulate
 
 from onyxspoke.core.placement.advice_entries import AdviceEntries
-from onyxspoke.core.placement.advice_line import AdviceCall
-from onyxspoke.core.placement.advice_places import CallLength, length_of
+from onyxspoke.core.placement.advice_queue import AdviceCall
+from onyxspoke.core.placement.entry_partition import CallLength, length_of
 from onyxspoke.core.placement.queue_order import StepRank
 
 #: Entries that are left for what is not owed, at least, where owed calls would take them all.
@@ -43,8 +43,8 @@
         reached = entries.usable[first:]
         self._ranks = [call.rank for call in calls]
         self._ahead = list(accumulate((call.seconds for call in calls), initial=0.0))
-        self._owed = self._ahead[sum(call.rank.is_owed for call in calls)]
-        self._free_at = sorted(max(now, advisor.free_at) for advisor in reached)
+        self._owed = self._ahead[sum(call.rank.is_entitled for call in calls)]
+        self._free_at = sorted(max(now, entry_name.free_at) for entry_name in reached)
         self._free_sums = list(accumulate(self._free_at, initial=0.0))
         #: Work that the entries take on until each of them becomes free, in seconds.
         self._capacity = [
@@ -55,7 +55,7 @@
         ]
         own = entries.usable[first:behind]
         self._left = float(entries.places.left_over(length, len(own), now))
-        taken = sorted(advisor.free_at for advisor in own if advisor.carries_others())
+        taken = sorted(entry_name.free_at for entry_name in own if entry_name.carries_others())
         is_full = self._left <= len(taken)
         self._next_left_at = taken[0] if taken and is_full else now
 
@@ -64,7 +64,7 @@
         if not self._free_at:
             return math.inf
         ahead = self._ahead[bisect_right(self._ranks, rank)]
-        if rank.is_owed:
+        if rank.is_entitled:
             return self._level(ahead)
         owed_done_at = self._level(self._owed)
         left = max(self._left, FEWEST_LEFT)
--- a/src/onyxspoke/core/placement/advice_notices.py
+++ b/src/onyxspoke/core/placement/advice_log_events.py
@@ -18,26 +18,26 @@
     fields: dict[str, str | int | float]
 
 
-def advisor_doubted(advisor: Advisor, reason: str, moved: int, now: float) -> AdviceNotice:
+def advisor_doubted(entry_name: Advisor, reason: str, moved: int, now: float) -> AdviceNotice:
     """Tell that an entry gets no calls for a while, and that so many were moved."""
     fields: dict[str, str | int | float] = {
-        "advisor": advisor.name,
+        "advisor": entry_name.name,
         "reason": reason,
-        "doubts": advisor.doubts,
-        "pause_s": round(advisor.doubted_until - now, _DIGITS),
+        "doubts": entry_name.doubts,
+        "pause_s": round(entry_name.doubted_until - now, _DIGITS),
         "moved": moved,
-        "slowness": round(advisor.slowness, _DIGITS),
+        "slowness": round(entry_name.slowness, _DIGITS),
     }
     return AdviceNotice("advisor_doubted", fields)
 
 
-def advisor_regained(advisor: Advisor, doubts: int, now: float) -> AdviceNotice:
+def advisor_regained(entry_name: Advisor, doubts: int, now: float) -> AdviceNotice:
     """Tell that an entry answers again, which was doubted so often in a row."""
     fields: dict[str, str | int | float] = {
-        "advisor": advisor.name,
+        "advisor": entry_name.name,
         "doubts": doubts,
-        "after_s": round(now - advisor.doubted_at, _DIGITS),
-        "slowness": round(advisor.slowness, _DIGITS),
+        "after_s": round(now - entry_name.doubted_at, _DIGITS),
+        "slowness": round(entry_name.slowness, _DIGITS),
     }
     return AdviceNotice("advisor_regained", fields)
 
--- a/src/onyxspoke/core/placement/advice_line.py
+++ b/src/onyxspoke/core/placement/advice_queue.py
@@ -8,7 +8,7 @@
 
 from onyxspoke.core.jobs.model import StepKey, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, rank_as_of
+from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, refreshed_rank
 
 #: A line is told of while its oldest call has waited for so long, in seconds, and so often.
 LONG_WAIT_SECONDS = 0.5
@@ -38,9 +38,9 @@
     worker_ids: tuple[WorkerId, ...]
     seconds: float
     rank: StepRank
-    wanted_at: float
+    requested_at: float
     number: int
-    advisor: str = ""
+    entry_name: str = ""
     begun_at: float = 0.0
     overdue_at: float = math.inf
     tries: int = 0
@@ -60,7 +60,7 @@
         return not is_over and progress.over_quota_since is None
 
 
-class AdviceLine:
+class AdviceQueue:
     """Calls that wait; the lowest rank goes first, and of equal ones the first that was wanted.
 
     Parameters
@@ -112,7 +112,7 @@
 
     def take_report(self, now: float) -> list[dict[str, str | int | float]]:
         """Return a line's length by queue where it is long, once in a while."""
-        oldest = min((call.wanted_at for call in self._calls.values()), default=now)
+        oldest = min((call.requested_at for call in self._calls.values()), default=now)
         if now - oldest < LONG_WAIT_SECONDS or now - self._told_at < TELLING_PAUSE_SECONDS:
             return []
         self._told_at = now
@@ -132,7 +132,7 @@
 
 def _rank_anew(call: AdviceCall, now: float) -> None:
     """Bring a rank up to date: with time, and with what is learned of its step's work."""
-    call.rank = rank_as_of(call.rank, call.progress, now)
+    call.rank = refreshed_rank(call.rank, call.progress, now)
     call.rank_holds_until = lateness_changes_at(call.progress, now)
     call.ranked_factor = call.progress.job.work.factor
 
@@ -145,7 +145,7 @@
     return {
         "queue": queue,
         "waiting": len(calls),
-        "owed": sum(call.rank.is_owed for call in calls),
+        "owed": sum(call.rank.is_entitled for call in calls),
         "seconds": round(sum(call.seconds for call in calls), _DIGITS),
-        "oldest_s": round(now - min(call.wanted_at for call in calls), _DIGITS),
+        "oldest_s": round(now - min(call.requested_at for call in calls), _DIGITS),
     }
--- a/src/onyxspoke/core/placement/advice_choice.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -13,9 +13,9 @@
 from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import AdvicePolicy, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.offer import Offer, has_label
-from onyxspoke.core.placement.room import ScratchRoom
-from onyxspoke.core.placement.spreading import counts_on_workers
+from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
+from onyxspoke.core.placement.spreading import task_counts_by_worker
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.workers import Worker
 
@@ -26,11 +26,11 @@
 CAPACITY_FACTOR = 4.0
 #: Workers in a first call at least, where there are as many: a call's own share makes up most of a
 #: smaller one, and a step that has to wait for room is to have some choice.
-FEWEST_ASKED = 24
+MINIMUM_WORKERS_PER_CALL = 24
 #: Workers in one call at most; the service's bound.
-MAXIMUM_WORKERS_ASKED = 100
+MAXIMUM_WORKERS_PER_CALL = 100
 #: Workers in one of several calls about a step at least, where there are as many.
-MINIMUM_WORKERS_ASKED = 24
+MINIMUM_WORKERS_PER_SPLIT_CALL = 24
 #: Workers that came into use, or gained room, are asked about again after so many times what the
 #: call takes: a step that waits asks for at most a fifth of the time.
 PAUSE_FACTOR = 5.0
@@ -38,61 +38,65 @@
 SlotsOf = Callable[[Worker], int]
 
 
-class AdviceChooser:
+class AdviceTargetSelector:
     """Chooses workers to ask about for one step, as one pass of placement sees them.
 
     Parameters
     ----------
     step : StepProgress
         The step that waits.
-    offer : Offer
+    schedulable : SchedulableWorkers
         The workers of its service.
-    room : ScratchRoom
+    room : ScratchCapacity
         What they have left.
-    good_share : float
+    approval_rate : float
         Share of the workers that is expected to be good for it.
     """
 
     def __init__(
-        self, step: StepProgress, offer: Offer, room: ScratchRoom, good_share: float
+        self,
+        step: StepProgress,
+        schedulable: SchedulableWorkers,
+        room: ScratchCapacity,
+        approval_rate: float,
     ) -> None:
         self._step = step
-        self._offer = offer
+        self._offer = schedulable
         self._room = room
-        self._good_share = good_share
+        self._good_share = approval_rate
         self._bound = step.most_on_a_worker
         #: Tasks that each worker has already, where their spread is bounded.
-        self._counts = counts_on_workers(step)
+        self._counts = task_counts_by_worker(step)
 
-    def unknown(self, most: int, advice: StepAdvice) -> list[WorkerId]:
+    def first_targets(self, most: int, advice: StepAdvice) -> list[WorkerId]:
         """Return whom to ask about for a step of which ``most`` tasks may start."""
         workers = self._not_asked(advice)
         wanted = most * ROOM_FACTOR
-        chosen, found = self._until_enough(workers, wanted, self.slots_now)
+        chosen, found = self._until_enough(workers, wanted, self.free_slots)
         if found < wanted:
             # There is not enough room for all yet: the step will wait for some.
             wanted = most * CAPACITY_FACTOR
             chosen, _found = self._until_enough(workers, wanted, self._slots_ever)
         return _names(chosen)
 
-    def unknown_with_room(self, missing: int, advice: StepAdvice) -> list[WorkerId]:
+    def new_targets_with_capacity(self, missing: int, advice: StepAdvice) -> list[WorkerId]:
         """Return others that have room now, enough for so many tasks that lack it."""
-        workers = [worker for worker in self._not_asked(advice) if self.slots_now(worker) > 0]
-        chosen, _found = self._until_enough(workers, missing * ROOM_FACTOR, self.slots_now)
+        workers = [worker for worker in self._not_asked(advice) if self.free_slots(worker) > 0]
+        chosen, _found = self._until_enough(workers, missing * ROOM_FACTOR, self.free_slots)
         return _names(chosen)
 
-    def all_unknown(self, advice: StepAdvice) -> list[WorkerId]:
+    def all_new_targets(self, advice: StepAdvice) -> list[WorkerId]:
         """Return all that were not asked about."""
         return sorted(_names(self._not_asked(advice)))
 
-    def again(self, missing: int, advice: StepAdvice, now: float) -> list[WorkerId]:
+    def renewal_targets(self, missing: int, advice: StepAdvice, now: float) -> list[WorkerId]:
         """Return good workers with room whose tickets have run out, enough for so many tasks."""
         names: list[WorkerId] = []
         for worker_id, held in advice.tickets.items():
             worker = self._offer.workers.get(worker_id)
             if worker is None or now < held.use_before:
                 continue
-            slots = self.slots_now(worker)
+            slots = self.free_slots(worker)
             if slots > 0:
                 names.append(worker_id)
                 missing -= slots
@@ -100,13 +104,13 @@
                     break
         return names
 
-    def again_for_long(self, missing: int, advice: StepAdvice, now: float) -> list[WorkerId]:
+    def renewal_targets_ahead(self, missing: int, advice: StepAdvice, now: float) -> list[WorkerId]:
         """Return the same, and others that are good: they may gain room while tickets hold.
 
         A call's own share makes up most of one about a few workers.  So a step that waits for room
         asks about all that it may use next, once in a ticket's validity, and not at each gain.
         """
-        names = self.again(missing, advice, now)
+        names = self.renewal_targets(missing, advice, now)
         if not names:
             return names
         others = [
@@ -114,13 +118,13 @@
             for worker_id, held in advice.tickets.items()
             if now >= held.use_before and worker_id in self._offer.workers
         ]
-        return list(dict.fromkeys(names + others))[: max(len(names), FEWEST_ASKED)]
+        return list(dict.fromkeys(names + others))[: max(len(names), MINIMUM_WORKERS_PER_CALL)]
 
     def _not_asked(self, advice: StepAdvice) -> list[Worker]:
         return [
             worker
             for worker_id, worker in self._offer.workers.items()
-            if worker_id not in advice.asked and has_label(worker, self._step)
+            if worker_id not in advice.queried_workers and has_label(worker, self._step)
         ]
 
     def _until_enough(
@@ -130,7 +134,7 @@
         found = 0.0
         chosen: list[Worker] = []
         for worker in sorted(workers, key=self._order):
-            if found >= wanted and len(chosen) >= FEWEST_ASKED:
+            if found >= wanted and len(chosen) >= MINIMUM_WORKERS_PER_CALL:
                 break
             chosen.append(worker)
             found += self._good_share * slots_of(worker)
@@ -139,9 +143,9 @@
     def _order(self, worker: Worker) -> tuple[int, int]:
         """Return a worker's place: most room now first, others in an order of each step's own."""
         name = f"{self._step.key.job_id}/{worker.worker_id}"
-        return -self.slots_now(worker), zlib.crc32(name.encode())
+        return -self.free_slots(worker), zlib.crc32(name.encode())
 
-    def slots_now(self, worker: Worker) -> int:
+    def free_slots(self, worker: Worker) -> int:
         """Return how many more tasks of the step a worker can take now."""
         spread = self._bound - self._counts.get(worker.worker_id, 0)
         return max(0, min(spread, self._room.slots(worker, self._step.needs)))
@@ -150,7 +154,7 @@
         return min(self._bound, slots_within(worker.record.capacity, self._step.needs))
 
 
-def pause_seconds(policy: AdvicePolicy, count: int) -> float:
+def call_interval_seconds(policy: AdvicePolicy, count: int) -> float:
     """Return how long after a call about others the next one is made."""
     return PAUSE_FACTOR * policy.call_seconds(count)
 
@@ -169,9 +173,9 @@
     the share that every call takes and the share of its workers are about alike.
     """
     if not step.spec.gang:
-        return [tuple(worker_ids[:MAXIMUM_WORKERS_ASKED])]
+        return [tuple(worker_ids[:MAXIMUM_WORKERS_PER_CALL])]
     balanced = int(policy.decide_ms / policy.per_item_ms) if policy.per_item_ms else len(worker_ids)
-    most = min(MAXIMUM_WORKERS_ASKED, max(balanced, MINIMUM_WORKERS_ASKED))
+    most = min(MAXIMUM_WORKERS_PER_CALL, max(balanced, MINIMUM_WORKERS_PER_SPLIT_CALL))
     count = -(-len(worker_ids) // most)
     size = -(-len(worker_ids) // count)
     return [tuple(worker_ids[at : at + size]) for at in range(0, len(worker_ids), size)]
--- a/src/onyxspoke/core/placement/advice_need.py
+++ b/src/onyxspoke/core/placement/advice_timing.py
@@ -13,7 +13,7 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.forecast import expected_end
 from onyxspoke.core.placement.queue_order import StepRank
 from onyxspoke.core.placement.worker_table import WorkerTable
@@ -58,7 +58,7 @@
         return self.free + self._freed[bisect_right(self._moments, moment)]
 
 
-class AdviceNeed:
+class AdviceTiming:
     """Tells for each step of a pass of placement whether it should ask.
 
     Parameters
@@ -67,16 +67,18 @@
         How long a stop takes at most.
     """
 
-    def __init__(self, table: WorkerTable, desk: AdviceDesk, stop_seconds: float) -> None:
+    def __init__(
+        self, table: WorkerTable, advice_dispatcher: AdviceDispatcher, stop_seconds: float
+    ) -> None:
         self._table = table
-        self._desk = desk
+        self._advice_dispatcher = advice_dispatcher
         self._stop_seconds = stop_seconds
         self._services: dict[str, _ServiceRoom] = {}
         self._looked_at = float("-inf")
 
     def begin_pass(self, now: float) -> None:
         """Begin with the step that goes first."""
-        if not self._desk.has_shares:
+        if not self._advice_dispatcher.uses_fair_shares:
             return
         if now - self._looked_at >= LOOK_SECONDS:
             self._looked_at = now
@@ -90,7 +92,7 @@
         if room is not None:
             room.ahead += tasks * step.needs.processors_milli
 
-    def is_of_use(
+    def should_request(
         self, step: StepProgress, queue: QueuePolicy, rank: StepRank, may_fit: bool, now: float
     ) -> bool:
         """Return whether a step that knows of no workers yet should ask about some.
@@ -101,7 +103,7 @@
             Whether some worker might have room for one of its tasks.
         """
         room, policy = self._services.get(queue.service), queue.advice
-        if not self._desk.has_shares or room is None or policy is None:
+        if not self._advice_dispatcher.uses_fair_shares or room is None or policy is None:
             return True
         is_free = room.free >= FREE_SHARE * room.total
         if may_fit and (is_free or now - step.ready_at >= LONGEST_HELD_SECONDS):
@@ -109,7 +111,7 @@
         expected = self._expected_room(room, policy, rank, now)
         if room.ahead < expected:
             return True
-        self._desk.note_put_off(step, room.ahead, expected)
+        self._advice_dispatcher.note_put_off(step, room.ahead, expected)
         return False
 
     def _expected_room(
@@ -117,8 +119,8 @@
     ) -> int:
         """Return the room that a step and those before it may count on, while advice is of use."""
         seconds = policy.call_seconds(_TYPICAL_WORKERS)
-        answer_at = now + seconds + self._desk.wait_seconds(seconds, rank, now)
-        if not rank.is_owed:
+        answer_at = now + seconds + self._advice_dispatcher.wait_seconds(seconds, rank, now)
+        if not rank.is_entitled:
             return room.by(answer_at)
         used_until = answer_at + VALIDITY_SHARE * policy.validity_ms / _MILLISECONDS
         return int(OWED_FACTOR * room.by(used_until))
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -24,7 +24,7 @@
 #: Runs that were ordered at most so long, in seconds, before their worker was last heard of had
 #: just begun when it went down.  Tasks that crash a worker as they start do so within some 10 ms;
 #: the rest leaves room for orders that are answered out of turn.
-JUST_BEGUN_SECONDS = 0.5
+RECENT_START_SECONDS = 0.5
 #: But one that its worker listed at work so long, in seconds, after the order has survived its
 #: beginning.  Without that, runs listed 0.24 and 0.44 s after their orders, whose ends were not
 #: read before their workers went down, ended two jobs of 150 explored schedules.
@@ -38,20 +38,20 @@
 STEADY_SECONDS = 30.0
 
 
-class EndOfLife(Enum):
+class IncarnationEndReason(Enum):
     """By what sign a worker's life is taken for over."""
 
-    OTHER_LIFE = "other_life"
-    LEASE_OVER = "lease_over"
+    OTHER_INCARNATION = "other_life"
+    LEASE_EXPIRED = "lease_over"
 
 
-def has_crashed(worker: Worker, sign: EndOfLife) -> bool:
+def has_crashed(worker: Worker, sign: IncarnationEndReason) -> bool:
     """Return whether a worker whose life is over went down unplanned, as far as can be told."""
     was_listed = worker.last_contact_listing
     was_leaving = WorkerListing.DRAINING in (worker.listing, was_listed)
     if was_leaving or was_listed is WorkerListing.GONE:
         return False
-    return sign is EndOfLife.OTHER_LIFE or worker.listing is WorkerListing.GONE
+    return sign is IncarnationEndReason.OTHER_INCARNATION or worker.listing is WorkerListing.GONE
 
 
 def blame_runs(worker: Worker, now: float) -> list[tuple[Run, Blame]]:
@@ -74,7 +74,7 @@
     has_survived = run.listed_at - run.ordered_at >= SURVIVED_SECONDS
     if _has_stopped(run) or has_survived or not run.ordered_at:
         return False
-    return run.ordered_at >= worker.heard_at - JUST_BEGUN_SECONDS
+    return run.ordered_at >= worker.heard_at - RECENT_START_SECONDS
 
 
 def _has_stopped(run: Run) -> bool:
--- a/src/onyxspoke/core/placement/room_seeker.py
+++ b/src/onyxspoke/core/placement/capacity_seeker.py
@@ -11,12 +11,12 @@
 
 from onyxspoke.core.jobs.model import QueuePolicy
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import FEWEST_ASKED
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import MINIMUM_WORKERS_PER_CALL
 from onyxspoke.core.placement.forecast import RoomForecast
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.preemption import Preemption, choose_preemption
-from onyxspoke.core.placement.queue_order import Lateness, step_rank_of
+from onyxspoke.core.placement.queue_order import Lateness, step_rank_in_queue
 from onyxspoke.core.placement.reservations import MemberSlots, RoomReservations
 from onyxspoke.core.placement.workers import Worker
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Eviction:
+class PreemptionRequest:
     """Runs that give way to a step."""
 
     step: StepProgress
@@ -48,13 +48,16 @@
     """
 
     def __init__(
-        self, desk: AdviceDesk, reservations: RoomReservations, stop_seconds: float
+        self,
+        advice_dispatcher: AdviceDispatcher,
+        reservations: RoomReservations,
+        stop_seconds: float,
     ) -> None:
-        self._desk = desk
+        self._advice_dispatcher = advice_dispatcher
         self._reservations = reservations
         self._stop_seconds = stop_seconds
         self._forecast = RoomForecast(stop_seconds, 0.0)
-        self.evictions: list[Eviction] = []
+        self.evictions: list[PreemptionRequest] = []
 
     def begin_pass(self, now: float) -> None:
         """Forget what was expected in an earlier pass of placement."""
@@ -71,7 +74,7 @@
         """Look after a step; ``workers`` are those that may run it, room or not."""
         needs = step.needs
         forecasts = sorted(
-            (self._forecast.room_expected_at(worker, needs, current.room), worker.worker_id)
+            (self._forecast.room_expected_at(worker, needs, current.capacity), worker.worker_id)
             for worker in workers
         )
         if not forecasts:
@@ -88,7 +91,7 @@
             total_processors_milli
         )
         if may_hold and soonest_at - current.now <= HOLD_AHEAD_SECONDS:
-            self._reservations.hold(step, [MemberSlots(soonest, 1)], current.room, current.now)
+            self._reservations.hold(step, [MemberSlots(soonest, 1)], current.capacity, current.now)
         else:
             self._reservations.drop(step.key)
 
@@ -100,11 +103,11 @@
         current: PlacementPass,
     ) -> Worker | None:
         """Have later queues give way; return where, or ``None`` if that does not help."""
-        rank = step_rank_of(step, queue, current.now)
-        if rank.is_beyond_share or rank.lateness is Lateness.EXPIRED:
+        rank = step_rank_in_queue(step, queue, current.now)
+        if rank.is_over_share or rank.lateness is Lateness.EXPIRED:
             return None
         if queue.advice is not None:
-            tickets = self._desk.advice_on(step).tickets
+            tickets = self._advice_dispatcher.advice_for(step).tickets
             usable_until = current.now + self._stop_seconds + TICKET_RESERVE_SECONDS
             ready = [
                 worker for worker in workers if tickets[worker.worker_id].use_before > usable_until
@@ -114,24 +117,24 @@
                 return None
             workers = ready
         found = choose_preemption(
-            queue.priority, step.needs, workers, current.room, current.policy, current.now
+            queue.priority, step.needs, workers, current.capacity, current.policy, current.now
         )
         if found is None:
             return None
-        self.evictions.append(Eviction(step, found))
+        self.evictions.append(PreemptionRequest(step, found))
         return found.worker
 
     def _ask_for(
         self, step: StepProgress, queue: QueuePolicy, workers: list[Worker], current: PlacementPass
     ) -> None:
-        advice = self._desk.advice_on(step)
-        if queue.advice is None or advice.is_asking:
+        advice = self._advice_dispatcher.advice_for(step)
+        if queue.advice is None or advice.has_open_calls:
             return
-        if self._desk.has_shares:
+        if self._advice_dispatcher.uses_fair_shares:
             workers = _most_useful(step, queue, workers, current)
         names = [worker.worker_id for worker in workers]
-        rank = step_rank_of(step, queue, current.now)
-        self._desk.want(step, queue.advice, names, rank, current.now)
+        rank = step_rank_in_queue(step, queue, current.now)
+        self._advice_dispatcher.request_advice(step, queue.advice, names, rank, current.now)
 
 
 def _most_useful(
@@ -139,9 +142,9 @@
 ) -> list[Worker]:
     """Return the workers on which others would give way, the best in front; none if they don't."""
     best = choose_preemption(
-        queue.priority, step.needs, workers, current.room, current.policy, current.now
+        queue.priority, step.needs, workers, current.capacity, current.policy, current.now
     )
     if best is None:
         return []
     others = [worker for worker in workers if worker is not best.worker]
-    return [best.worker, *others][:FEWEST_ASKED]
+    return [best.worker, *others][:MINIMUM_WORKERS_PER_CALL]
--- a/src/onyxspoke/core/placement/advice_places.py
+++ b/src/onyxspoke/core/placement/entry_partition.py
@@ -64,7 +64,7 @@
         return self._value * math.exp((self._noted_at - now) / LOAD_SECONDS)
 
 
-class AdvicePlaces:
+class EntryPartition:
     """Divides the entries among short, medium and long calls."""
 
     def __init__(self) -> None:
--- a/src/onyxspoke/core/placement/forecast.py
+++ b/src/onyxspoke/core/placement/forecast.py
@@ -7,12 +7,12 @@
 
 from onyxspoke.core.jobs.model import Needs, WorkerId
 from onyxspoke.core.jobs.states import RunState
-from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
 #: Progress, in percent, from which on it tells more than the estimate.
-TELLING_PERCENT = 5
+RELIABLE_PROGRESS_PERCENT = 5
 _FULL_PERCENT = 100
 
 
@@ -23,9 +23,9 @@
     estimate = run.expected_seconds
     if run.is_resumed:
         left = estimate * (_FULL_PERCENT - run.percent) / _FULL_PERCENT
-        return max(0.0, left - (now - run.moved_at))
+        return max(0.0, left - (now - run.progressed_at))
     elapsed = now - run.confirmed_at
-    if run.percent >= TELLING_PERCENT:
+    if run.percent >= RELIABLE_PROGRESS_PERCENT:
         whole = elapsed / run.percent * _FULL_PERCENT
         return max(0.0, whole - elapsed)
     return max(0.0, estimate - elapsed)
@@ -48,7 +48,7 @@
         #: Ends of a worker's runs, the soonest first, and what each frees.
         self._ends: dict[WorkerId, list[tuple[float, Needs]]] = {}
 
-    def room_expected_at(self, worker: Worker, needs: Needs, room: ScratchRoom) -> float:
+    def room_expected_at(self, worker: Worker, needs: Needs, room: ScratchCapacity) -> float:
         """Return when a worker will have room for one more task; infinity if not known."""
         processors, memory, accelerators = room.free(worker)
         if _fits(processors, memory, accelerators, needs):
