--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -4,19 +4,23 @@
 
 from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import FEWEST_ASKED, AdviceChooser
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_need import AdviceNeed
-from onyxspoke.core.placement.offer import Offer, has_label
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import MINIMUM_WORKERS_PER_CALL, AdviceTargetSelector
+from onyxspoke.core.placement.advice_timing import AdviceTiming
+from onyxspoke.core.placement.capacity_seeker import PreemptionRequest
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.preemption import Preemption, choose_preemption, freed_soon
-from onyxspoke.core.placement.queue_order import step_rank_of
+from onyxspoke.core.placement.queue_order import step_rank_in_queue
 from onyxspoke.core.placement.reservations import MemberSlots, RoomReservations, can_ever_fit
-from onyxspoke.core.placement.room import ScratchRoom
-from onyxspoke.core.placement.room_seeker import Eviction
-from onyxspoke.core.placement.spreading import Placement, StepPlacement, is_far
+from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
+from onyxspoke.core.placement.spreading import Placement, StepPlacement, is_off_preferred_rack
 from onyxspoke.core.placement.step_advice import StepAdvice
-from onyxspoke.core.placement.worker_pace import ALIKE, PaceChooser, pace_chooser
+from onyxspoke.core.placement.worker_speed_preference import (
+    NEUTRAL_SPEED_SCORE,
+    SpeedPreference,
+    speed_preference,
+)
 from onyxspoke.core.placement.workers import Worker
 
 #: Tickets for a gang are asked for once so much of its room is there.
@@ -46,31 +50,31 @@
 
     def __init__(
         self,
-        desk: AdviceDesk,
+        advice_dispatcher: AdviceDispatcher,
         reservations: RoomReservations,
-        need: AdviceNeed,
+        advice_timing: AdviceTiming,
         stop_seconds: float,
     ) -> None:
-        self._desk = desk
-        self._need = need
+        self._advice_dispatcher = advice_dispatcher
+        self._advice_timing = advice_timing
         self._reservations = reservations
         self._stop_seconds = stop_seconds
-        self.evictions: list[Eviction] = []
+        self.evictions: list[PreemptionRequest] = []
 
     def place(
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         current: PlacementPass,
     ) -> StepPlacement | None:
         """Return where a gang starts now, or ``None``; then room may be held for it."""
         if len(step.waiting) < len(step.tasks):
             return None
-        advice = self._desk.advice_on(step) if queue.advice is not None else None
-        workers = _workers_for_gang(step, advice, offer, current.now)
-        chooser = pace_chooser(step, workers, current.minds_speed, current.now)
-        slots = _slots_of(step, workers, current.room, current.now, chooser)
+        advice = self._advice_dispatcher.advice_for(step) if queue.advice is not None else None
+        workers = _workers_for_gang(step, advice, schedulable, current.now)
+        chooser = speed_preference(step, workers, current.is_speed_aware, current.now)
+        slots = _slots_of(step, workers, current.capacity, current.now, chooser)
         usable = slots
         if advice is not None:
             held = advice.tickets
@@ -80,40 +84,46 @@
         members = _choose_for_gang(step, usable, current.now)
         if members is not None:
             self._reservations.drop(step.key)
-            return _start_gang(step, members, advice, current.room)
+            return _start_gang(step, members, advice, current.capacity)
         may_hold = self._reservations.holds(step.key) or self._reservations.is_within_share(
-            offer.processors_milli
+            schedulable.processors_milli
         )
         if may_hold and can_ever_fit(step, workers):
             slots = self._room_to_hold(step, queue, workers, slots, current)
-            self._reservations.hold(step, slots, current.room, current.now)
+            self._reservations.hold(step, slots, current.capacity, current.now)
         else:
             self._reservations.drop(step.key)
-        self._ask(step, queue, offer, slots, current)
+        self._ask(step, queue, schedulable, slots, current)
         return None
 
     def _ask(
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         slots: list[MemberSlots],
         current: PlacementPass,
     ) -> None:
         """Ask for the tickets that are missing to use the room that there is, or will be soon."""
         if queue.advice is None:
             return
-        advice = self._desk.advice_on(step)
-        rank = step_rank_of(step, queue, current.now)
-        may_fit = offer.may_fit(step.needs)
-        if not advice.is_asking and (
-            advice.asked or self._need.is_of_use(step, queue, rank, may_fit, current.now)
+        advice = self._advice_dispatcher.advice_for(step)
+        rank = step_rank_in_queue(step, queue, current.now)
+        may_fit = schedulable.may_fit(step.needs)
+        if not advice.has_open_calls and (
+            advice.queried_workers
+            or self._advice_timing.should_request(step, queue, rank, may_fit, current.now)
         ):
-            chooser = AdviceChooser(step, offer, current.room, self._desk.good_share(queue.name))
+            chooser = AdviceTargetSelector(
+                step,
+                schedulable,
+                current.capacity,
+                self._advice_dispatcher.approval_rate(queue.name),
+            )
             ask = _workers_to_ask_for_gang(
-                step, queue.advice, advice, offer, slots, chooser, current.now
+                step, queue.advice, advice, schedulable, slots, chooser, current.now
             )
-            self._desk.want(step, queue.advice, ask, rank, current.now)
+            self._advice_dispatcher.request_advice(step, queue.advice, ask, rank, current.now)
 
     def _room_to_hold(
         self,
@@ -129,7 +139,7 @@
         missing = members - _total(held)
         if missing <= 0:
             return held
-        soon = _first_members(_slots_soon(step, workers, current.room, current.now), missing)
+        soon = _first_members(_slots_soon(step, workers, current.capacity, current.now), missing)
         held += soon
         missing -= _total(soon)
         if missing > 0 and self._may_others_give_way(step, queue, current.now):
@@ -143,8 +153,8 @@
         held_since = self._reservations.held_since(step.key)
         if held_since is None or now - held_since < PATIENCE_SECONDS:
             return False
-        rank = step_rank_of(step, queue, now)
-        if rank.is_beyond_share:
+        rank = step_rank_in_queue(step, queue, now)
+        if rank.is_over_share:
             return False
         return now + self._stop_seconds + START_SECONDS <= rank.latest_start
 
@@ -167,24 +177,26 @@
         left = list(workers)
         while len(chosen) < missing:
             found = choose_preemption(
-                queue.priority, step.needs, left, current.room, current.policy, current.now
+                queue.priority, step.needs, left, current.capacity, current.policy, current.now
             )
             if found is None:
                 return []
             chosen.append(found)
             left = [worker for worker in left if worker is not found.worker]
-        self.evictions += [Eviction(step, preemption) for preemption in chosen]
+        self.evictions += [PreemptionRequest(step, preemption) for preemption in chosen]
         return [MemberSlots(preemption.worker, 1) for preemption in chosen]
 
 
 def _workers_for_gang(
-    step: StepProgress, advice: StepAdvice | None, offer: Offer, now: float
+    step: StepProgress, advice: StepAdvice | None, schedulable: SchedulableWorkers, now: float
 ) -> list[Worker]:
     """Return the workers that may run a gang's members, whether there is room or not."""
     if advice is None:
-        workers = list(offer.workers.values())
+        workers = list(schedulable.workers.values())
     else:
-        workers = [offer.workers[name] for name in advice.tickets if name in offer.workers]
+        workers = [
+            schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
+        ]
     return [
         worker
         for worker in workers
@@ -195,9 +207,9 @@
 def _slots_of(
     step: StepProgress,
     workers: list[Worker],
-    room: ScratchRoom,
+    room: ScratchCapacity,
     now: float,
-    chooser: PaceChooser | None,
+    chooser: SpeedPreference | None,
 ) -> list[MemberSlots]:
     """Return how many members each worker has room for, the best workers first.
 
@@ -212,9 +224,9 @@
         if count > 0:
             score = (
                 int(worker.worker_id in failed_on),
-                int(worker.health.is_doubtful(now)),
-                int(is_far(worker, step)),
-                (ALIKE if chooser is None else chooser.terms(worker)),
+                int(worker.health.is_suspected(now)),
+                int(is_off_preferred_rack(worker, step)),
+                (NEUTRAL_SPEED_SCORE if chooser is None else chooser.score(worker)),
                 -count,
                 room.free_processors(worker),
                 worker.worker_id,
@@ -225,7 +237,7 @@
 
 
 def _slots_soon(
-    step: StepProgress, workers: list[Worker], room: ScratchRoom, now: float
+    step: StepProgress, workers: list[Worker], room: ScratchCapacity, now: float
 ) -> list[MemberSlots]:
     """Return for how many more members workers will have room in a moment."""
     most = step.most_on_a_worker
@@ -279,7 +291,7 @@
 
 
 def _start_gang(
-    step: StepProgress, members: list[MemberSlots], advice: StepAdvice | None, room: ScratchRoom
+    step: StepProgress, members: list[MemberSlots], advice: StepAdvice | None, room: ScratchCapacity
 ) -> StepPlacement:
     placements = []
     tasks = iter(step.tasks)
@@ -294,9 +306,9 @@
     step: StepProgress,
     policy: AdvicePolicy,
     advice: StepAdvice,
-    offer: Offer,
+    schedulable: SchedulableWorkers,
     slots: list[MemberSlots],
-    chooser: AdviceChooser,
+    chooser: AdviceTargetSelector,
     now: float,
 ) -> list[str]:
     """Return the workers whose tickets a gang lacks.
@@ -307,21 +319,23 @@
     that were not asked about; once most of it is there, the good ones for new tickets.
     """
     members = len(step.tasks)
-    known_good = [offer.workers[name] for name in advice.tickets if name in offer.workers]
-    is_due = now >= advice.unknown_due_at
-    unknown_count = len(offer.workers.keys() - advice.asked)
-    if not can_ever_fit(step, known_good) and (is_due or unknown_count >= FEWEST_ASKED):
-        if unknown_count < FEWEST_ASKED and advice.asked:
-            advice.unknown_due_at = now + UNKNOWN_PAUSE_SECONDS
-        return chooser.all_unknown(advice)
+    known_good = [
+        schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
+    ]
+    is_due = now >= advice.new_workers_due_at
+    unknown_count = len(schedulable.workers.keys() - advice.queried_workers)
+    if not can_ever_fit(step, known_good) and (is_due or unknown_count >= MINIMUM_WORKERS_PER_CALL):
+        if unknown_count < MINIMUM_WORKERS_PER_CALL and advice.queried_workers:
+            advice.new_workers_due_at = now + UNKNOWN_PAUSE_SECONDS
+        return chooser.all_new_targets(advice)
     asked: list[str] = []
     missing = members - _total(slots)
     if missing > 0:
-        asked = chooser.unknown_with_room(missing, advice)
+        asked = chooser.new_targets_with_capacity(missing, advice)
     if _total(slots) < ASKING_SHARE * members:
         if not asked or not is_due:
             return []
-        advice.unknown_due_at = now + UNKNOWN_PAUSE_SECONDS
+        advice.new_workers_due_at = now + UNKNOWN_PAUSE_SECONDS
         return asked
     needed_until = now + policy.call_seconds(len(slots)) + RENEWAL_SECONDS
     names = [item.worker.worker_id for item in slots]
--- a/src/onyxspoke/core/placement/health.py
+++ b/src/onyxspoke/core/placement/health.py
@@ -61,7 +61,7 @@
             return False
         return 0 <= now - self._avoided_until < TRIAL_SECONDS
 
-    def is_doubtful(self, now: float) -> bool:
+    def is_suspected(self, now: float) -> bool:
         """Return whether other workers are to be preferred."""
         if not self._failed_jobs:
             return False
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -14,9 +14,9 @@
 from typing import Protocol, TypeVar
 
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
-from onyxspoke.core.placement.blame import JUST_BEGUN_SECONDS
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.blame import RECENT_START_SECONDS
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
 #: How long the news of a crash takes at most, as a rule, in seconds: connections are reset within
@@ -26,7 +26,7 @@
 #: does is the emptiest again and again, and would bring every suspect its second crash.
 SETTLED_SECONDS = 10.0
 #: For how long a beginning is kept apart.
-TRIAL_SECONDS = JUST_BEGUN_SECONDS + NEWS_SECONDS
+TRIAL_SECONDS = RECENT_START_SECONDS + NEWS_SECONDS
 
 
 class Place(Protocol):
@@ -40,11 +40,11 @@
 AnyPlace = TypeVar("AnyPlace", bound=Place)
 
 
-def keep_free_for(run: Run, now: float) -> None:
+def isolate_worker_of(run: Run, now: float) -> None:
     """Have nothing else begin on a run's worker until it would be known that the run crashed it."""
     step = run.task.step
     if run.task.crashes.is_suspicious or is_on_trial(step):
-        step.begins_apart_until = run.worker.kept_free_until = now + TRIAL_SECONDS
+        step.begins_apart_until = run.worker.isolated_until = now + TRIAL_SECONDS
 
 
 def is_on_trial(step: StepProgress) -> bool:
@@ -58,7 +58,7 @@
     run = task.run
     if run is None or not run.confirmed_at or run.ordered_at <= crashed_at:
         return False
-    return run.worker.heard_at > run.ordered_at + JUST_BEGUN_SECONDS
+    return run.worker.heard_at > run.ordered_at + RECENT_START_SECONDS
 
 
 def begins_apart(task: TaskProgress, step_is_on_trial: bool) -> bool:
@@ -71,7 +71,7 @@
     suspects: list[TaskProgress],
     places: list[AnyPlace],
     counts: dict[str, int],
-    room: ScratchRoom,
+    room: ScratchCapacity,
     now: float,
 ) -> list[tuple[AnyPlace, TaskProgress]]:
     """Return where suspects of a step begin: together, where they disturb others least."""
@@ -92,16 +92,16 @@
 
 
 def _slots_apart(
-    worker: Worker, step: StepProgress, counts: dict[str, int], room: ScratchRoom
+    worker: Worker, step: StepProgress, counts: dict[str, int], room: ScratchCapacity
 ) -> int:
     slots = room.slots(worker, step.needs)
     limit = step.spec.spread_limit
     return min(slots, limit - counts.get(worker.worker_id, 0)) if limit else slots
 
 
-def _disturbance(worker: Worker, room: ScratchRoom, now: float) -> tuple[bool, bool, int]:
+def _disturbance(worker: Worker, room: ScratchCapacity, now: float) -> tuple[bool, bool, int]:
     """Return how ill a worker suits: it may crash by itself, others have just begun, others run."""
     latest = max((run.ordered_at for run in worker.runs.values()), default=0.0)
-    has_new = room.has_taken_of(worker) or now - latest < JUST_BEGUN_SECONDS
+    has_new = room.has_taken_from(worker) or now - latest < RECENT_START_SECONDS
     is_young = now - worker.first_heard_at < SETTLED_SECONDS
     return is_young, has_new, len(worker.runs)
--- a/src/onyxspoke/core/placement/placement_pass.py
+++ b/src/onyxspoke/core/placement/placement_pass.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from onyxspoke.core.jobs.policy import PolicySet
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.tenants.ledger import QuotaPass
 
 
@@ -21,14 +21,14 @@
         What tenants may still start.
     now : float
         The moment of the pass.
-    room : ScratchRoom
+    capacity : ScratchCapacity
         What the pass has taken or held so far.
-    minds_speed : bool
+    is_speed_aware : bool
         Whether workers' speeds count.
     """
 
     policy: PolicySet
     quotas: QuotaPass
     now: float
-    room: ScratchRoom = field(default_factory=ScratchRoom)
-    minds_speed: bool = True
+    capacity: ScratchCapacity = field(default_factory=ScratchCapacity)
+    is_speed_aware: bool = True
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -7,21 +7,21 @@
 from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy, StepKey
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.advice_choice import AdviceChooser, pause_seconds
-from onyxspoke.core.placement.advice_desk import AdviceDesk
-from onyxspoke.core.placement.advice_need import AdviceNeed
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import AdviceTargetSelector, call_interval_seconds
+from onyxspoke.core.placement.advice_timing import AdviceTiming
+from onyxspoke.core.placement.capacity_seeker import PreemptionRequest, RoomSeeker
 from onyxspoke.core.placement.gang_placer import GangPlacer
-from onyxspoke.core.placement.offer import Offer, has_label
 from onyxspoke.core.placement.placement_pass import PlacementPass
-from onyxspoke.core.placement.queue_order import step_rank_of
-from onyxspoke.core.placement.renewal_room import RenewalRoom
+from onyxspoke.core.placement.queue_order import step_rank_in_queue
+from onyxspoke.core.placement.renewal_reservations import RenewalReservations
 from onyxspoke.core.placement.reservations import RoomReservations
-from onyxspoke.core.placement.room_seeker import Eviction, RoomSeeker
+from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
 from onyxspoke.core.placement.spreading import (
     Candidate,
     StepPlacement,
-    counts_on_workers,
     place_tasks,
+    task_counts_by_worker,
 )
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.worker_table import WorkerTable
@@ -52,19 +52,21 @@
     def __init__(
         self,
         table: WorkerTable,
-        desk: AdviceDesk,
+        advice_dispatcher: AdviceDispatcher,
         stop_seconds: float,
-        minds_speed: bool = True,
+        is_speed_aware: bool = True,
     ) -> None:
-        self._minds_speed = minds_speed
+        self._minds_speed = is_speed_aware
         self._table = table
-        self._desk = desk
+        self._advice_dispatcher = advice_dispatcher
         #: Change number of the table at which a step was last looked at in vain.
         self._blocked_at: dict[StepKey, int] = {}
         self._reservations = RoomReservations(table)
-        self._seeker = RoomSeeker(desk, self._reservations, stop_seconds)
-        self._need = AdviceNeed(table, desk, stop_seconds)
-        self._gangs = GangPlacer(desk, self._reservations, self._need, stop_seconds)
+        self._seeker = RoomSeeker(advice_dispatcher, self._reservations, stop_seconds)
+        self._advice_timing = AdviceTiming(table, advice_dispatcher, stop_seconds)
+        self._gangs = GangPlacer(
+            advice_dispatcher, self._reservations, self._advice_timing, stop_seconds
+        )
         #: When a step that waits for room is looked at next, though none was gained.
         self._look_again_at: dict[StepKey, float] = {}
         #: When a gang that holds no room is looked at next, at the earliest.
@@ -73,7 +75,7 @@
         #: Steps that came to wait for their tenants' quotas since the last call.
         self._newly_over_quota: list[StepProgress] = []
 
-    def take_evictions(self) -> list[Eviction]:
+    def take_preemption_requests(self) -> list[PreemptionRequest]:
         """Return the runs that are to give way since the last call."""
         evictions = self._seeker.evictions + self._gangs.evictions
         self._seeker.evictions, self._gangs.evictions = [], []
@@ -107,15 +109,15 @@
         self._table.note_availability(now)
         self._forget_others({step.key for step in steps})
         plan: list[StepPlacement] = []
-        current = PlacementPass(policy, quotas, now, minds_speed=self._minds_speed)
+        current = PlacementPass(policy, quotas, now, is_speed_aware=self._minds_speed)
         self._seeker.begin_pass(now)
-        self._need.begin_pass(now)
+        self._advice_timing.begin_pass(now)
         offers = _Offers(self._table)
         changes = _Changes(self._table)
         blocked_at: dict[StepKey, int] = {}
         looked_ahead = count = 0
-        keeper = RenewalRoom(self._desk)
-        for step in keeper.in_order(steps, offers.of, current):
+        renewal_reservations = RenewalReservations(self._advice_dispatcher)
+        for step in renewal_reservations.steps_by_rank(steps, offers.of, current):
             most = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
             if step.note_quota(most == 0, now):
@@ -128,19 +130,21 @@
             if since is not None and now < self._gang_look_at.get(step.key, -math.inf):
                 # What has changed meanwhile is looked at then.
                 blocked_at[step.key] = since
-                self._need.note_waiting(step, service, most)
+                self._advice_timing.note_waiting(step, service, most)
                 continue
             may_look_ahead = not step.spec.gang and looked_ahead < MAXIMUM_LOOKED_AHEAD
             is_due = now >= self._look_again_at.get(step.key, math.inf)
-            is_new = since is None or changes.may_help(step, since, self._desk)
+            is_new = since is None or changes.may_help(step, since, self._advice_dispatcher)
             left = most
             if is_new or is_due:
                 queue = policy.queue_of(step.job.spec)
-                offer = offers.of(queue.service)
-                placed = self._place_step(step, queue, offer, current, most)
+                schedulable = offers.of(queue.service)
+                placed = self._place_step(step, queue, schedulable, current, most)
                 self._look_again_at[step.key] = now + SWEEP_SECONDS
                 if may_look_ahead:
-                    looked_ahead += self._look_ahead(step, queue, placed, offer, current, most)
+                    looked_ahead += self._look_ahead(
+                        step, queue, placed, schedulable, current, most
+                    )
                 elif placed is not None and not is_new:
                     self._overlooked.append(step)
                 if placed is not None:
@@ -151,10 +155,10 @@
                     if count >= MAXIMUM_PLACEMENTS:
                         return plan
             else:
-                self._reservations.hold_again(step, current.room)
+                self._reservations.hold_again(step, current.capacity)
             blocked_at[step.key] = self._table.change_number
-            self._need.note_waiting(step, service, left)
-            keeper.note_waiting(step, left)
+            self._advice_timing.note_waiting(step, service, left)
+            renewal_reservations.note_waiting(step, left)
         self._blocked_at = blocked_at
         return plan
 
@@ -169,44 +173,56 @@
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         current: PlacementPass,
         most: int,
     ) -> StepPlacement | None:
         if step.spec.gang:
-            placed = self._gangs.place(step, queue, offer, current)
+            placed = self._gangs.place(step, queue, schedulable, current)
             if placed is None and not self._reservations.holds(step.key):
                 self._gang_look_at[step.key] = current.now + GANG_PAUSE_SECONDS
             else:
                 self._gang_look_at.pop(step.key, None)
             return placed
-        may_fit = offer.may_fit(step.needs)
-        candidates = self._candidates(step, queue, offer, current.now)
+        may_fit = schedulable.may_fit(step.needs)
+        candidates = self._candidates(step, queue, schedulable, current.now)
         if queue.advice is not None:
-            advice = self._desk.advice_on(step)
-            rank = step_rank_of(step, queue, current.now)
-            if not advice.is_asking and (
-                advice.tickets or self._need.is_of_use(step, queue, rank, may_fit, current.now)
+            advice = self._advice_dispatcher.advice_for(step)
+            rank = step_rank_in_queue(step, queue, current.now)
+            if not advice.has_open_calls and (
+                advice.tickets
+                or self._advice_timing.should_request(step, queue, rank, may_fit, current.now)
             ):
-                chooser = AdviceChooser(
-                    step, offer, current.room, self._desk.good_share(queue.name)
+                target_selector = AdviceTargetSelector(
+                    step,
+                    schedulable,
+                    current.capacity,
+                    self._advice_dispatcher.approval_rate(queue.name),
                 )
                 ask = _workers_to_ask(
-                    queue.advice, advice, chooser, candidates, most, current.now, self._desk
+                    queue.advice,
+                    advice,
+                    target_selector,
+                    candidates,
+                    most,
+                    current.now,
+                    self._advice_dispatcher,
                 )
-                self._desk.want(step, queue.advice, ask, rank, current.now)
+                self._advice_dispatcher.request_advice(step, queue.advice, ask, rank, current.now)
         if not may_fit or not candidates:
             return None
-        return place_tasks(step, candidates, current.room, most, current.now, current.minds_speed)
+        return place_tasks(
+            step, candidates, current.capacity, most, current.now, current.is_speed_aware
+        )
 
     def _candidates(
-        self, step: StepProgress, queue: QueuePolicy, offer: Offer, now: float
+        self, step: StepProgress, queue: QueuePolicy, schedulable: SchedulableWorkers, now: float
     ) -> list[Candidate]:
         """Return the workers on which the step may be started now."""
         if queue.advice is None:
-            candidates = [Candidate(worker, "") for worker in offer.workers.values()]
+            candidates = [Candidate(worker, "") for worker in schedulable.workers.values()]
         else:
-            candidates = _with_tickets(self._desk.advice_on(step), offer, now)
+            candidates = _with_tickets(self._advice_dispatcher.advice_for(step), schedulable, now)
         return [item for item in candidates if has_label(item.worker, step)]
 
     def _look_ahead(
@@ -214,7 +230,7 @@
         step: StepProgress,
         queue: QueuePolicy,
         placed: StepPlacement | None,
-        offer: Offer,
+        schedulable: SchedulableWorkers,
         current: PlacementPass,
         most: int,
     ) -> int:
@@ -223,20 +239,22 @@
             self._reservations.drop(step.key)
             return 0
         self._look_again_at[step.key] = current.now + LOOK_AGAIN_SECONDS
-        advice = self._desk.advice_on(step) if queue.advice is not None else None
-        counts = counts_on_workers(step)
+        advice = self._advice_dispatcher.advice_for(step) if queue.advice is not None else None
+        counts = task_counts_by_worker(step)
         if advice is None:
-            offered = list(offer.workers.values())
+            offered = list(schedulable.workers.values())
         else:
-            offered = [offer.workers[name] for name in advice.tickets if name in offer.workers]
+            offered = [
+                schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
+            ]
         workers = [
             worker
             for worker in offered
             if has_label(worker, step)
-            and not worker.health.is_doubtful(current.now)
+            and not worker.health.is_suspected(current.now)
             and counts.get(worker.worker_id, 0) < step.most_on_a_worker
         ]
-        total = offer.processors_milli
+        total = schedulable.processors_milli
         self._seeker.seek(step, queue, workers, total, current)
         return 1
 
@@ -248,7 +266,7 @@
         self._table = table
         self._since: dict[int, list[Worker]] = {}
 
-    def may_help(self, step: StepProgress, since: int, desk: AdviceDesk) -> bool:
+    def may_help(self, step: StepProgress, since: int, advice_dispatcher: AdviceDispatcher) -> bool:
         """Return whether one of them may run a step that found no room before."""
         changed = self._since.get(since)
         if changed is None:
@@ -256,7 +274,7 @@
         if not changed:
             return False
         needs = step.needs
-        advice = desk.known_advice(step.key)
+        advice = advice_dispatcher.known_advice(step.key)
         for worker in changed:
             if worker.fits(needs) and (advice is None or advice.may_run_on(worker.worker_id)):
                 return True
@@ -268,15 +286,15 @@
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
-        self._by_service: dict[str, Offer] = {}
+        self._by_service: dict[str, SchedulableWorkers] = {}
 
-    def of(self, service: str) -> Offer:
+    def of(self, service: str) -> SchedulableWorkers:
         """Return the offer of a service."""
-        offer = self._by_service.get(service)
-        if offer is None:
-            offer = Offer(self._table.offered(service))
-            self._by_service[service] = offer
-        return offer
+        schedulable = self._by_service.get(service)
+        if schedulable is None:
+            schedulable = SchedulableWorkers(self._table.offered(service))
+            self._by_service[service] = schedulable
+        return schedulable
 
 
 def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
@@ -290,10 +308,12 @@
     return min(slots, len(step.waiting))
 
 
-def _with_tickets(advice: StepAdvice, offer: Offer, now: float) -> list[Candidate]:
+def _with_tickets(
+    advice: StepAdvice, schedulable: SchedulableWorkers, now: float
+) -> list[Candidate]:
     candidates = []
     for worker_id, held in advice.tickets.items():
-        worker = offer.workers.get(worker_id)
+        worker = schedulable.workers.get(worker_id)
         if worker is not None and now < held.use_before:
             candidates.append(Candidate(worker, held.text))
     return candidates
@@ -302,22 +322,26 @@
 def _workers_to_ask(
     policy: AdvicePolicy,
     advice: StepAdvice,
-    chooser: AdviceChooser,
+    target_selector: AdviceTargetSelector,
     candidates: list[Candidate],
     most: int,
     now: float,
-    desk: AdviceDesk,
+    advice_dispatcher: AdviceDispatcher,
 ) -> list[str]:
     """Return the workers about which advice is missing and would help, for ``most`` tasks."""
     if not advice.tickets:
-        return chooser.unknown(most, advice)
-    missing = most - sum(chooser.slots_now(item.worker) for item in candidates)
+        return target_selector.first_targets(most, advice)
+    missing = most - sum(target_selector.free_slots(item.worker) for item in candidates)
     if missing <= 0:
         return []
-    renew = chooser.again_for_long if desk.has_shares else chooser.again
+    renew = (
+        target_selector.renewal_targets_ahead
+        if advice_dispatcher.uses_fair_shares
+        else target_selector.renewal_targets
+    )
     again = renew(missing, advice, now)
-    if again or now < advice.unknown_due_at:
+    if again or now < advice.new_workers_due_at:
         return again
-    others = chooser.unknown_with_room(missing, advice)
-    advice.unknown_due_at = now + pause_seconds(policy, len(others))
+    others = target_selector.new_targets_with_capacity(missing, advice)
+    advice.new_workers_due_at = now + call_interval_seconds(policy, len(others))
     return others
--- a/src/onyxspoke/core/placement/preemption.py
+++ b/src/onyxspoke/core/placement/preemption.py
@@ -13,8 +13,8 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.forecast import remaining_seconds
-from onyxspoke.core.placement.room import ScratchRoom
 from onyxspoke.core.placement.runs import Run
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
 #: A run that ends by itself so soon is left alone, in seconds: a stop takes about as long.
@@ -39,7 +39,7 @@
     priority: int,
     needs: Needs,
     workers: list[Worker],
-    room: ScratchRoom,
+    room: ScratchCapacity,
     policy: PolicySet,
     now: float,
 ) -> Preemption | None:
@@ -71,7 +71,7 @@
     worker: Worker,
     priority: int,
     needs: Needs,
-    room: ScratchRoom,
+    room: ScratchCapacity,
     policy: PolicySet,
     now: float,
 ) -> Preemption | None:
--- a/src/onyxspoke/core/placement/queue_order.py
+++ b/src/onyxspoke/core/placement/queue_order.py
@@ -20,7 +20,7 @@
 #: A job is of use until so many times its objective.
 EXPIRY_FACTOR = 3.0
 #: Estimates may be too high; a job counts as late when this share of them no longer fits.
-CERTAIN_SHARE = 0.7
+CERTAIN_ESTIMATE_SHARE = 0.7
 
 
 class Lateness(IntEnum):
@@ -34,30 +34,30 @@
 class StepRank(NamedTuple):
     """A step's place in the waiting line; the lowest goes first.
 
-    ``is_expired`` says that nobody waits for its job any more, ``is_beyond_share`` that its tenant
+    ``is_expired`` says that nobody waits for its job any more, ``is_over_share`` that its tenant
     had handed in more than it is owed, ``latest_start`` is the second by which it should start,
     ``step`` its number in the job.
     """
 
     is_expired: bool
-    is_beyond_share: bool
+    is_over_share: bool
     priority: int
     lateness: Lateness
     latest_start: float
     step: int
 
     @property
-    def is_owed(self) -> bool:
+    def is_entitled(self) -> bool:
         """Whether somebody waits for the step's job, and its tenant is owed it."""
-        return not (self.is_expired or self.is_beyond_share)
+        return not (self.is_expired or self.is_over_share)
 
 
 def step_rank(step: StepProgress, policy: PolicySet, now: float) -> StepRank:
     """Return a step's place, under the policy in force."""
-    return step_rank_of(step, policy.queue_of(step.job.spec), now)
+    return step_rank_in_queue(step, policy.queue_of(step.job.spec), now)
 
 
-def step_rank_of(step: StepProgress, queue: QueuePolicy, now: float) -> StepRank:
+def step_rank_in_queue(step: StepProgress, queue: QueuePolicy, now: float) -> StepRank:
     """Return a step's place, given its queue."""
     job = step.job
     objective = job.expected_objective_seconds
@@ -67,7 +67,7 @@
     lateness = _lateness(step, objective, chain, now)
     return StepRank(
         lateness is Lateness.EXPIRED,
-        job.spec.is_beyond_share,
+        job.spec.is_over_share,
         queue.priority,
         lateness,
         latest_start,
@@ -75,7 +75,7 @@
     )
 
 
-def rank_as_of(rank: StepRank, step: StepProgress, now: float) -> StepRank:
+def refreshed_rank(rank: StepRank, step: StepProgress, now: float) -> StepRank:
     """Return a step's place as it is now: its queue and its tenant's share stay as they were."""
     objective = step.job.expected_objective_seconds
     chain = step.expected_chain_seconds
@@ -91,7 +91,7 @@
     """Return when a step's lateness changes next, by what is known now; infinity if never."""
     if step.spec.long_running:
         return math.inf
-    start = step.due_at - CERTAIN_SHARE * step.expected_chain_seconds
+    start = step.due_at - CERTAIN_ESTIMATE_SHARE * step.expected_chain_seconds
     objective = step.job.expected_objective_seconds
     for moment in (start + objective, start + EXPIRY_FACTOR * objective):
         if moment > now:
@@ -102,7 +102,7 @@
 def _lateness(step: StepProgress, objective: float, chain: float, now: float) -> Lateness:
     if step.spec.long_running:
         return Lateness.ON_TIME
-    earliest_end = now + CERTAIN_SHARE * chain
+    earliest_end = now + CERTAIN_ESTIMATE_SHARE * chain
     if earliest_end <= step.due_at + objective:
         return Lateness.ON_TIME
     if earliest_end <= step.due_at + EXPIRY_FACTOR * objective:
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -12,12 +12,12 @@
 from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import StepKey
 from onyxspoke.core.jobs.progress import StepProgress
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
 
 #: Share of a service's processors that waiting gangs may hold, the first gang apart.
-HELD_SHARE = 0.2
+MAX_HELD_CAPACITY_SHARE = 0.2
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
         return None if holding is None else holding.since
 
     def hold(
-        self, step: StepProgress, slots: list[MemberSlots], room: ScratchRoom, now: float
+        self, step: StepProgress, slots: list[MemberSlots], room: ScratchCapacity, now: float
     ) -> None:
         """Hold room, instead of what was held for the step before."""
         former = self._held.get(step.key)
@@ -66,7 +66,7 @@
             self._release(former, {item.worker.worker_id for item in slots})
         self.hold_again(step, room)
 
-    def hold_again(self, step: StepProgress, room: ScratchRoom) -> None:
+    def hold_again(self, step: StepProgress, room: ScratchCapacity) -> None:
         """Hold in a new pass what is held already."""
         holding = self._held.get(step.key)
         if holding is not None:
@@ -87,13 +87,13 @@
     def is_within_share(self, total_processors_milli: int) -> bool:
         """Return whether one more gang may hold room in a service of this size."""
         held = sum(holding.processors_milli for holding in self._held.values())
-        return held <= HELD_SHARE * total_processors_milli
+        return held <= MAX_HELD_CAPACITY_SHARE * total_processors_milli
 
     def _release(self, holding: _Holding, kept: set[str]) -> None:
         """Let the steps that found no room look again at what is held no more."""
         for item in holding.slots:
             if item.worker.worker_id not in kept:
-                self._table.note_gain(item.worker)
+                self._table.note_capacity_gain(item.worker)
 
 
 def can_ever_fit(step: StepProgress, workers: list[Worker]) -> bool:
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -30,11 +30,18 @@
         A member ended otherwise than well, or never began: the others are to end too.
     counts_as_failure : bool
         A member ended ``failed``.
-    is_told : bool
+    is_duration_recorded : bool
         Its end was taken for what it tells of durations.
     """
 
-    __slots__ = ("counts_as_failure", "is_broken", "is_told", "members", "number", "step")
+    __slots__ = (
+        "counts_as_failure",
+        "is_broken",
+        "is_duration_recorded",
+        "members",
+        "number",
+        "step",
+    )
 
     def __init__(self, step: StepProgress, number: int) -> None:
         self.step = step
@@ -42,7 +49,7 @@
         self.members: list[Run] = []
         self.is_broken = False
         self.counts_as_failure = False
-        self.is_told = False
+        self.is_duration_recorded = False
 
     @property
     def is_over(self) -> bool:
@@ -55,7 +62,7 @@
 
     Attributes
     ----------
-    until_ms : int
+    start_valid_until_ms : int
         Worker's clock after which the order to start is void.
     ordered_at : float
         When its start was ordered by this holder; 0 for one that a former holder ordered.
@@ -70,13 +77,13 @@
     is_resumed : bool
         Its work began in an earlier run, or before this holder: its progress does not count from
         its start.
-    moved_at : float
+    progressed_at : float
         When the percentage last rose.
     usage : int
         Rough figure of the worker: processors in use, or the tail of answer times.
     evidence : RunEvidence or None
         What its progress has told of durations.
-    pace_percent, pace_wanted : int
+    pace_percent, ordered_pace_percent : int
         Share at which the run may work: as acknowledged, and as last ordered.
     """
 
@@ -86,20 +93,20 @@
         "gang",
         "is_resumed",
         "listed_at",
-        "moved_at",
         "needs",
         "number",
         "ordered_at",
+        "ordered_pace_percent",
         "pace_percent",
         "pace_sent_at",
-        "pace_wanted",
         "percent",
+        "progressed_at",
         "sent_at",
+        "start_valid_until_ms",
         "state",
         "stop_answered_at",
         "stop_sent_at",
         "task",
-        "until_ms",
         "usage",
         "worker",
     )
@@ -118,7 +125,7 @@
         self.needs: Needs = task.step.needs
         self.state = RunState.PLANNED
         self.gang = gang
-        self.until_ms = 0
+        self.start_valid_until_ms = 0
         self.ordered_at = 0.0
         self.sent_at = now
         self.confirmed_at = 0.0
@@ -128,10 +135,10 @@
         self.percent = 0
         self.is_resumed = False
         self.evidence: RunEvidence | None = None
-        self.moved_at = now
+        self.progressed_at = now
         self.usage = 0
         self.pace_percent = 100
-        self.pace_wanted = 100
+        self.ordered_pace_percent = 100
         self.pace_sent_at = 0.0
         if gang is not None:
             gang.members.append(self)
@@ -169,14 +176,14 @@
     # A factor below 1 may be wrong for this task: it never has a sound run stopped sooner.
     seconds = max(run.expected_seconds, estimated_seconds(run))
     bound = STALL_SECONDS + STALL_ESTIMATE_SHARE * seconds
-    moved_at = run.moved_at
+    progressed_at = run.progressed_at
     if run.gang is not None:
-        moved_at = max(member.moved_at for member in run.gang.members)
+        progressed_at = max(member.progressed_at for member in run.gang.members)
         bound += GANG_START_SECONDS if run.percent == 0 else 0.0
-    return seen_at - moved_at > bound
+    return seen_at - progressed_at > bound
 
 
-def run_name(key: RunKey) -> str:
+def task_log_name(key: RunKey) -> str:
     """Return how a run's task is named in logs."""
     task = key.task
     return f"{task.job_id}.{task.repetition}.{task.step}.{task.task_index}"
--- a/src/onyxspoke/core/placement/offer.py
+++ b/src/onyxspoke/core/placement/schedulable_workers.py
@@ -7,7 +7,7 @@
 from onyxspoke.core.placement.workers import Worker
 
 
-class Offer:
+class SchedulableWorkers:
     """The workers of one service to which runs may go."""
 
     def __init__(self, workers: list[Worker]) -> None:
--- a/src/onyxspoke/core/placement/room.py
+++ b/src/onyxspoke/core/placement/scratch_capacity.py
@@ -7,13 +7,13 @@
 from onyxspoke.core.placement.workers import Worker
 
 
-class ScratchRoom:
+class ScratchCapacity:
     """Room that a pass has taken so far, by worker; nothing of the workers is changed."""
 
     def __init__(self) -> None:
         self._taken: dict[str, Needs] = {}
 
-    def has_taken_of(self, worker: Worker) -> bool:
+    def has_taken_from(self, worker: Worker) -> bool:
         """Return whether the pass has taken room of a worker."""
         return worker.worker_id in self._taken
 
--- a/src/onyxspoke/core/placement/spreading.py
+++ b/src/onyxspoke/core/placement/spreading.py
@@ -11,8 +11,12 @@
 
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
 from onyxspoke.core.placement.isolation import begins_apart, is_on_trial, place_apart
-from onyxspoke.core.placement.room import ScratchRoom
-from onyxspoke.core.placement.worker_pace import ALIKE, PaceTerms, pace_chooser
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
+from onyxspoke.core.placement.worker_speed_preference import (
+    NEUTRAL_SPEED_SCORE,
+    SpeedScore,
+    speed_preference,
+)
 from onyxspoke.core.placement.workers import Worker
 
 
@@ -44,20 +48,20 @@
 def place_tasks(
     step: StepProgress,
     candidates: list[Candidate],
-    room: ScratchRoom,
+    room: ScratchCapacity,
     most: int,
     now: float,
-    minds_speed: bool = True,
+    is_speed_aware: bool = True,
 ) -> StepPlacement | None:
     """Return where waiting tasks of a step, at most so many, start now, as far as there is room."""
     chosen_tasks = [step.tasks[index] for index in step.waiting][:most]
     on_trial = is_on_trial(step)
     waiting = [task for task in chosen_tasks if not begins_apart(task, on_trial)]
     suspects = [task for task in chosen_tasks if begins_apart(task, on_trial)]
-    counts = counts_on_workers(step)
+    counts = task_counts_by_worker(step)
     zones = {task.run.worker.record.zone for task in step.tasks if task.run is not None}
     left = list(candidates)
-    chooser = pace_chooser(step, (item.worker for item in candidates), minds_speed, now)
+    chooser = speed_preference(step, (item.worker for item in candidates), is_speed_aware, now)
     placements: list[Placement] = []
     while waiting and left:
         best: Candidate | None = None
@@ -67,7 +71,7 @@
             tasks = _tasks_for(candidate.worker, step, waiting, counts, room, now)
             if not tasks:
                 continue
-            pace = ALIKE if chooser is None else chooser.terms(candidate.worker)
+            pace = NEUTRAL_SPEED_SCORE if chooser is None else chooser.score(candidate.worker)
             score = _score(candidate.worker, step, tasks, len(waiting), zones, room, now, pace)
             if best_score is None or score < best_score:
                 best, best_score, best_tasks = candidate, score, tasks
@@ -89,7 +93,7 @@
     step: StepProgress,
     waiting: list[TaskProgress],
     counts: dict[str, int],
-    room: ScratchRoom,
+    room: ScratchCapacity,
     now: float,
 ) -> list[TaskProgress]:
     """Return the tasks that would go to a worker, those that did not just fail there first."""
@@ -110,9 +114,9 @@
     tasks: list[TaskProgress],
     waiting_count: int,
     zones: set[str],
-    room: ScratchRoom,
+    room: ScratchCapacity,
     now: float,
-    pace: PaceTerms,
+    pace: SpeedScore,
 ) -> tuple[int, ...]:
     """Return how well a worker suits; the lowest is best.
 
@@ -125,24 +129,24 @@
     is_apart = bool(zones) and worker.record.zone not in zones
     return (
         int(tasks[0].failed_on == worker.worker_id),
-        int(worker.health.is_doubtful(now)),
-        int(is_far(worker, step)),
-        pace.lateness,
+        int(worker.health.is_suspected(now)),
+        int(is_off_preferred_rack(worker, step)),
+        pace.lateness_penalty,
         free.accelerators if needs_accelerators else 0,
         int(is_apart),
         int(len(tasks) < waiting_count),
-        pace.waste,
+        pace.fast_worker_penalty,
         free.processors_milli,
     )
 
 
-def is_far(worker: Worker, step: StepProgress) -> bool:
+def is_off_preferred_rack(worker: Worker, step: StepProgress) -> bool:
     """Return whether a worker is in another rack than the step's data."""
     rack = step.spec.preferred_rack
     return bool(rack) and worker.record.rack != rack
 
 
-def counts_on_workers(step: StepProgress) -> dict[str, int]:
+def task_counts_by_worker(step: StepProgress) -> dict[str, int]:
     """Return how many tasks of a step run on each worker, where their spread is bounded."""
     counts: dict[str, int] = {}
     if step.spec.spread_limit:
--- a/src/onyxspoke/core/placement/step_advice.py
+++ b/src/onyxspoke/core/placement/step_advice.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from onyxspoke.core.jobs.model import WorkerId
-from onyxspoke.core.placement.advice_line import AdviceCall
+from onyxspoke.core.placement.advice_queue import AdviceCall
 from onyxspoke.core.shard.orders import AdviceResult
 
 _MILLISECONDS = 1_000.0
@@ -31,7 +31,7 @@
     """What is known about one step: tickets of the good workers, and those asked about."""
 
     tickets: dict[WorkerId, HeldTicket] = field(default_factory=dict)
-    asked: set[WorkerId] = field(default_factory=set)
+    queried_workers: set[WorkerId] = field(default_factory=set)
     #: Numbers of the calls about it that wait or are under way.
     open_calls: set[int] = field(default_factory=set)
     retry_at: float = 0.0
@@ -39,10 +39,10 @@
     is_put_off: bool = False
     #: From when on workers that were not asked about, as those that came into use, may be asked
     #: about by themselves.
-    unknown_due_at: float = -math.inf
+    new_workers_due_at: float = -math.inf
 
     @property
-    def is_asking(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Whether a call about the step waits or is under way."""
         return bool(self.open_calls)
 
@@ -55,7 +55,7 @@
 
     def may_run_on(self, worker_id: WorkerId) -> bool:
         """Return whether a worker is good for the step, or was not asked about yet."""
-        return worker_id in self.tickets or worker_id not in self.asked
+        return worker_id in self.tickets or worker_id not in self.queried_workers
 
 
 @dataclass(slots=True)
@@ -66,22 +66,22 @@
     """
 
     good: float = 12.0
-    asked: float = 24.0
+    queried_workers: float = 24.0
 
     @property
     def value(self) -> float:
         """The share, by the answers so far."""
-        return max(self.good / self.asked, LOWEST_GOOD_SHARE)
+        return max(self.good / self.queried_workers, LOWEST_GOOD_SHARE)
 
     def note(self, call: AdviceCall, result: AdviceResult) -> None:
         """Take an answer."""
         self.good = self.good * GOOD_SHARE_KEPT + len(result.tickets)
-        self.asked = self.asked * GOOD_SHARE_KEPT + len(call.worker_ids)
+        self.queried_workers = self.queried_workers * GOOD_SHARE_KEPT + len(call.worker_ids)
 
 
 def note_answer(advice: StepAdvice, call: AdviceCall, result: AdviceResult, now: float) -> None:
     """Keep what an answer says of the workers that were asked about."""
-    advice.asked.update(call.worker_ids)
+    advice.queried_workers.update(call.worker_ids)
     use_before = now + result.validity_ms / _MILLISECONDS - TICKET_MARGIN_SECONDS
     for ticket in result.tickets:
         advice.tickets[ticket.worker_id] = HeldTicket(ticket.text, use_before)
--- a/src/onyxspoke/core/placement/open_starts.py
+++ b/src/onyxspoke/core/placement/unresolved_starts.py
@@ -8,7 +8,7 @@
 LATE_ORDER_SECONDS = 13.0
 
 
-class OpenStarts:
+class UnresolvedStarts:
     """Remembers, by the names of workers, starts for as long as they may be carried out.
 
     A name outlives what is known of a worker: one that is given up after its lease may be back
@@ -19,16 +19,16 @@
         #: When each was ordered, oldest first.
         self._ordered_at: dict[tuple[WorkerId, RunKey], float] = {}
 
-    def handle_ordered(self, worker_id: WorkerId, run: RunKey, now: float) -> None:
+    def add_start(self, worker_id: WorkerId, run: RunKey, now: float) -> None:
         """A start is on its way."""
         self._forget_old(now)
         self._ordered_at[worker_id, run] = now
 
-    def handle_answered(self, worker_id: WorkerId, run: RunKey) -> None:
+    def resolve_start(self, worker_id: WorkerId, run: RunKey) -> None:
         """A start was answered: it was carried out, or never will be."""
         self._ordered_at.pop((worker_id, run), None)
 
-    def of_worker(self, worker_id: WorkerId, now: float) -> list[RunKey]:
+    def starts_on_worker(self, worker_id: WorkerId, now: float) -> list[RunKey]:
         """Return the starts that may yet be carried out by whichever life has the name."""
         self._forget_old(now)
         return [run for name, run in self._ordered_at if name == worker_id]
--- a/src/onyxspoke/core/placement/worker_record.py
+++ b/src/onyxspoke/core/placement/worker_record.py
@@ -56,7 +56,7 @@
     NO_SERVICE = "no_service"
     NO_ADDRESS = "no_address"
     OUT_OF_RANGE = "out_of_range"
-    NO_BIRTH = "no_birth"
+    NO_START_TIME = "no_birth"
 
 
 class UnusableEntry(msgspec.Struct, frozen=True):
--- a/src/onyxspoke/core/placement/worker_pace.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -15,22 +15,22 @@
 FACTOR_UNIT = 0.25
 
 
-class PaceTerms(NamedTuple):
+class SpeedScore(NamedTuple):
     """Parts of a worker's score; the lowest is best.
 
-    ``lateness`` is 0 where the job can be on time, and else grows with the worker's factor;
-    ``waste`` is lower the slower a worker is on which it can.
+    ``lateness_penalty`` is 0 where the job can be on time, and else grows with the worker's factor;
+    ``fast_worker_penalty`` is lower the slower a worker is on which it can.
     """
 
-    lateness: int
-    waste: int
+    lateness_penalty: int
+    fast_worker_penalty: int
 
 
 #: Of all workers where none is known to be unlike the others.
-ALIKE = PaceTerms(0, 0)
+NEUTRAL_SPEED_SCORE = SpeedScore(0, 0)
 
 
-class PaceChooser:
+class SpeedPreference:
     """Sends steps that are short of time to fast workers, and others to slow ones."""
 
     def __init__(self, step: StepProgress, now: float) -> None:
@@ -39,19 +39,19 @@
         seconds = step.expected_seconds
         self._bearable = 1.0 + SLACK_SHARE * slack / seconds if seconds > 0.0 else 1.0
 
-    def terms(self, worker: Worker) -> PaceTerms:
+    def score(self, worker: Worker) -> SpeedScore:
         """Return what a worker's speed means for the step."""
         factor = worker.speed.factor
         rank = round(factor / FACTOR_UNIT)
         if factor <= self._bearable:
-            return PaceTerms(0, -rank)
-        return PaceTerms(rank, 0)
+            return SpeedScore(0, -rank)
+        return SpeedScore(rank, 0)
 
 
-def pace_chooser(
+def speed_preference(
     step: StepProgress, workers: Iterable[Worker], is_on: bool, now: float
-) -> PaceChooser | None:
+) -> SpeedPreference | None:
     """Return the chooser for a step, or ``None`` where all workers count as alike."""
     if not is_on or step.spec.long_running or all(item.speed.factor == 1.0 for item in workers):
         return None
-    return PaceChooser(step, now)
+    return SpeedPreference(step, now)
--- a/src/onyxspoke/core/placement/worker_table.py
+++ b/src/onyxspoke/core/placement/worker_table.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import WorkerId
-from onyxspoke.core.placement.open_starts import OpenStarts
+from onyxspoke.core.placement.unresolved_starts import UnresolvedStarts
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 
 
@@ -12,13 +12,13 @@
 
     def __init__(self) -> None:
         self.workers: dict[WorkerId, Worker] = {}
-        self.open_starts = OpenStarts()
+        self.unresolved_starts = UnresolvedStarts()
         #: Those to which runs may go, by service, as they were last looked at.
         self._offered: dict[str, list[Worker]] = {}
         #: Rises whenever some worker gains room or comes into use.
         self.change_number = 0
 
-    def note_gain(self, worker: Worker) -> None:
+    def note_capacity_gain(self, worker: Worker) -> None:
         """A worker has gained room, or come into use."""
         self.change_number += 1
         worker.gained_at = self.change_number
@@ -31,7 +31,7 @@
             if is_offered:
                 self._offered.setdefault(worker.record.service, []).append(worker)
                 if not worker.was_offered:
-                    self.note_gain(worker)
+                    self.note_capacity_gain(worker)
             worker.was_offered = is_offered
 
     def changed_since(self, number: int) -> list[Worker]:
@@ -48,10 +48,10 @@
         """Return how many runs hold room."""
         return sum(len(worker.runs) for worker in self.workers.values())
 
-    def unsettled(self) -> list[Worker]:
+    def unreconciled(self) -> list[Worker]:
         """Return workers that may run what a former holder started there."""
         return [
             worker
             for worker in self.workers.values()
-            if worker.contact is WorkerContact.UNSETTLED and worker.was_used_before
+            if worker.contact is WorkerContact.UNRECONCILED and worker.was_used_by_previous_holder
         ]
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -19,28 +19,28 @@
 REMEMBERED_ENDS = 400
 #: Births remembered of the former lives of a name: entries of the directory lag by seconds, in
 #: which no worker starts more often.
-REMEMBERED_BIRTHS = 8
+MAX_PREVIOUS_STARTS = 8
 
 
 class WorkerContact(Enum):
     """What the holder knows of what a worker runs.
 
-    ``UNSETTLED``: it may run anything.  ``SETTLED``: it has answered under this holder's
-    token, and every run on it is known.  ``SILENT``: settled before, but it does not answer.
-    ``OVER``: its life is over, and so is everything it ran.
+    ``UNRECONCILED``: it may run anything.  ``RECONCILED``: it has answered under this holder's
+    token, and every run on it is known.  ``UNRESPONSIVE``: settled before, but it does not answer.
+    ``ENDED``: its life is over, and so is everything it ran.
     """
 
-    UNSETTLED = "unsettled"
-    SETTLED = "settled"
-    SILENT = "silent"
-    OVER = "over"
+    UNRECONCILED = "unsettled"
+    RECONCILED = "settled"
+    UNRESPONSIVE = "silent"
+    ENDED = "over"
 
 
 CONTACT_TRANSITIONS: dict[WorkerContact, frozenset[WorkerContact]] = {
-    WorkerContact.UNSETTLED: frozenset({WorkerContact.SETTLED, WorkerContact.OVER}),
-    WorkerContact.SETTLED: frozenset({WorkerContact.SILENT, WorkerContact.OVER}),
-    WorkerContact.SILENT: frozenset({WorkerContact.SETTLED, WorkerContact.OVER}),
-    WorkerContact.OVER: frozenset({WorkerContact.SETTLED}),
+    WorkerContact.UNRECONCILED: frozenset({WorkerContact.RECONCILED, WorkerContact.ENDED}),
+    WorkerContact.RECONCILED: frozenset({WorkerContact.UNRESPONSIVE, WorkerContact.ENDED}),
+    WorkerContact.UNRESPONSIVE: frozenset({WorkerContact.RECONCILED, WorkerContact.ENDED}),
+    WorkerContact.ENDED: frozenset({WorkerContact.RECONCILED}),
 }
 
 
@@ -60,11 +60,11 @@
     ----------
     born_ms : int
         What tells the life from others of that name; 0 until the worker has said it.
-    former_births : tuple of int
+    previous_starts_ms : tuple of int
         Of lives of that name that are over, the latest last; what tells of them is out of date.
-    lapsed_until : float
+    missing_entry_grace_until : float
         Its entry went while the store was away, and may come back until then; 0 otherwise.
-    leaves_at : float
+    earliest_exit_at : float
         The holder's second until which a draining worker stays at least.
     runs : dict of RunKey to Run
         Everything that may run there, each holding room.
@@ -72,25 +72,25 @@
         What its runs tell of it; one on trial gets one run at a time.
     speed : WorkerSpeed
         How long it takes for its work, compared with others.
-    strays : dict of RunKey to float
+    orphan_runs : dict of RunKey to float
         Runs there that stand for no task of the shard, and when their stop was sent; they
         take room that is not known, so nothing is started beside them.
-    open_starts : dict of RunKey to float
+    unresolved_starts : dict of RunKey to float
         Starts ordered to the former life that may yet be carried out here, and when their stop was
         last sent; nothing is started beside them.
     seen_through : int
         Ends up to this number were taken in; each is told to the worker once committed.
     told_through : int
         Ends up to this number are committed, so that the worker may forget them.
-    unsettled_until : float
+    previous_lease_expires_at : float
         The holder's second by which any lease that a former holder granted is over.
     is_recorded : bool
         The store names it as a worker that may run something for the shard.
-    was_used_before : bool
+    was_used_by_previous_holder : bool
         A former holder may have started runs there.
     lease_until_ms : int
         Worker's clock until which this holder may have let things run.
-    doubted_at : float
+    unanswered_order_at : float
         When an order was not answered, until a later look is; 0 otherwise.
     retry_at : float
         Not offered before this second, after a refusal.
@@ -100,7 +100,7 @@
         Worker's clock of the latest list of runs that was taken in.
     ended_runs : dict of RunKey to RunEnd
         Runs that are over, so that an older answer does not bring them back.
-    misses : int
+    missed_holds : int
         Holds in a row without an answer.
     heard_at : float
         When it last answered anything.
@@ -112,28 +112,28 @@
         When it first did; infinity before.
     last_contact_listing : WorkerListing
         What the directory said of it then; of one never heard, what its record says.
-    kept_free_until : float
+    isolated_until : float
         Nothing more is started there before this second, so that a task that may have crashed
         workers begins apart from others.
     """
 
-    def __init__(self, record: WorkerRecord, unsettled_until: float) -> None:
+    def __init__(self, record: WorkerRecord, previous_lease_expires_at: float) -> None:
         #: The life's name.
         self.worker_id = record.worker_id
         self.born_ms = record.born_ms
-        self.former_births: tuple[int, ...] = ()
+        self.previous_starts_ms: tuple[int, ...] = ()
         self.record = record
-        self.contact = WorkerContact.UNSETTLED
+        self.contact = WorkerContact.UNRECONCILED
         self.listing = record.listing
-        self.lapsed_until = 0.0
-        self.leaves_at = 0.0
+        self.missing_entry_grace_until = 0.0
+        self.earliest_exit_at = 0.0
         self.clock = WorkerClock()
         self.runs: dict[RunKey, Run] = {}
         self.health = WorkerHealth()
         self.pace = WorkerPace()
         self.speed = WorkerSpeed(record.worker_id, record.born_ms, record.kind)
-        self.strays: dict[RunKey, float] = {}
-        self.open_starts: dict[RunKey, float] = {}
+        self.orphan_runs: dict[RunKey, float] = {}
+        self.unresolved_starts: dict[RunKey, float] = {}
         #: What the runs that hold room there hold together.
         self._held_processors = 0
         self._held_memory = 0
@@ -141,27 +141,27 @@
         self.seen_through = 0
         self.told_through = 0
         self.is_recorded = False
-        self.was_used_before = False
-        self.unsettled_until = unsettled_until
+        self.was_used_by_previous_holder = False
+        self.previous_lease_expires_at = previous_lease_expires_at
         self.lease_until_ms = 0
         self.retry_at = 0.0
-        self.doubted_at = 0.0
+        self.unanswered_order_at = 0.0
         self.answered_at = 0.0
         self.heard_at = 0.0
         self.was_refused = False
         self.was_unanswered = False
         self.first_heard_at = math.inf
         self.last_contact_listing = record.listing
-        self.kept_free_until = 0.0
+        self.isolated_until = 0.0
         self.listed_clock_ms = 0
         self.gained_at = 0
         self.was_offered = False
         self.ended_runs: dict[RunKey, RunEnd] = {}
         self.long_hold = HoldInFlight()
-        self.quick_hold = HoldInFlight()
+        self.immediate_hold = HoldInFlight()
         self.next_hold_at = 0.0
-        self.wants_look = False
-        self.misses = 0
+        self.poll_requested = False
+        self.missed_holds = 0
         self.silent_since = 0.0
 
     def move_to(self, contact: WorkerContact) -> None:
@@ -171,22 +171,22 @@
             self.contact = contact
 
     @property
-    def is_described(self) -> bool:
+    def is_record_current(self) -> bool:
         """Whether the record is of this life; the next one may have another kind and other room."""
         return self.record.born_ms in (0, self.born_ms)
 
     def is_offered(self, now: float) -> bool:
         """Return whether runs may be started there."""
         return (
-            self.contact is WorkerContact.SETTLED
+            self.contact is WorkerContact.RECONCILED
             and self.listing is WorkerListing.READY
-            and self.is_described
+            and self.is_record_current
             and self.is_recorded
-            and not self.strays
-            and not self.open_starts
-            and not self.doubted_at
+            and not self.orphan_runs
+            and not self.unresolved_starts
+            and not self.unanswered_order_at
             and now >= self.retry_at
-            and now >= self.kept_free_until
+            and now >= self.isolated_until
             and not self.health.is_avoided(now)
             and not (self.runs and self.health.is_on_trial(now))
         )
@@ -210,7 +210,7 @@
         return self.record.capacity.accelerators - self._held_accelerators
 
     @property
-    def is_over_room(self) -> bool:
+    def is_over_capacity(self) -> bool:
         """Whether its runs hold more than there is."""
         return self.free_processors < 0 or self.free_memory < 0 or self.free_accelerators < 0
 
@@ -237,7 +237,7 @@
         self._held_memory -= run.needs.memory_mb
         self._held_accelerators -= run.needs.accelerators
 
-    def has_fillers(self) -> bool:
+    def needs_pacing(self) -> bool:
         """Return whether something fills here beside something that serves."""
         fills = serves = False
         for run in self.runs.values():
@@ -246,7 +246,7 @@
             serves = serves or spec.target_ms > 0
         return fills and (serves or self.pace.percent < FULL_PERCENT)
 
-    def serving_pressure(self) -> float:
+    def worst_latency_ratio(self) -> float:
         """Return the worst tail of a serving task here, as a share of its target."""
         worst = 0.0
         for run in self.runs.values():
@@ -255,7 +255,7 @@
                 worst = max(worst, run.usage / target)
         return worst
 
-    def filling_runs(self) -> list[Run]:
+    def filler_runs(self) -> list[Run]:
         """Return the runs here that fill what the others leave."""
         return [
             run
@@ -269,7 +269,7 @@
         if len(self.ended_runs) > REMEMBERED_ENDS:
             del self.ended_runs[next(iter(self.ended_runs))]
 
-    def note_heard(self, now: float) -> None:
+    def note_answer(self, now: float) -> None:
         """It answered: its process was there."""
         self.heard_at = now
         self.was_refused = False
@@ -277,7 +277,7 @@
         self.first_heard_at = min(self.first_heard_at, now)
         self.last_contact_listing = self.listing
 
-    def note_unheard(self, ended_early: bool) -> None:
+    def note_failed_poll(self, ended_early: bool) -> None:
         """A look had no answer; one that ends early was refused, or its connection was reset."""
         if ended_early:
             self.was_refused = True
@@ -290,6 +290,6 @@
 
     def lease_over_at(self) -> float:
         """Return the holder's second after which nothing of before can still run there."""
-        if self.contact is WorkerContact.UNSETTLED or not self.clock.is_known:
-            return self.unsettled_until
+        if self.contact is WorkerContact.UNRECONCILED or not self.clock.is_known:
+            return self.previous_lease_expires_at
         return self.clock.moment_past(self.lease_until_ms)
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -93,7 +93,7 @@
 
     # Requests and jobs
 
-    def stimulus_request(
+    def on_request(
         self, request_id: str, request: TaskRequest, patience_seconds: float, now: float
     ) -> list[Action]:
         """A caller submits a request and waits for its answer."""
@@ -108,14 +108,14 @@
             self.dispatcher.place_or_queue(active, now)
         return self._take_actions(now)
 
-    def stimulus_hang_up(self, request_id: str, now: float) -> list[Action]:
+    def on_hang_up(self, request_id: str, now: float) -> list[Action]:
         """A caller went away without its answer."""
         request = self.context.requests.get(request_id)
         if request is not None:
             self.dispatcher.hang_up(request, now)
         return self._take_actions(now)
 
-    def stimulus_job(
+    def on_job(
         self, request_id: str, job: JobSubmission, patience_seconds: float, now: float
     ) -> list[Action]:
         """A caller submits a durable job and waits for its acceptance."""
@@ -128,14 +128,14 @@
                 self.context.emit(AnswerCaller(request_id, known))
         return self._take_actions(now)
 
-    def stimulus_cancel_job(self, job_id: JobId, now: float) -> list[Action]:
+    def on_cancel_job(self, job_id: JobId, now: float) -> list[Action]:
         """A caller cancels a job that this entry runs."""
         self.jobs.cancel(job_id, now)
         return self._take_actions(now)
 
     # Workers
 
-    def stimulus_machine_list(self, machines: list[MachineRecord], now: float) -> list[Action]:
+    def on_machine_list(self, machines: list[MachineRecord], now: float) -> list[Action]:
         """The platform sent its machine list."""
         for worker_id in self.ownership.handle_machine_list(machines):
             self.context.workers.remove(worker_id)
@@ -143,7 +143,7 @@
         self.ownership.sync_with_log(now)
         return self._take_actions(now)
 
-    def stimulus_worker_inventory(
+    def on_worker_inventory(
         self,
         worker_id: WorkerId,
         token: FencingToken,
@@ -158,14 +158,14 @@
             self.dispatcher.pump(now)
         return self._take_actions(now)
 
-    def stimulus_worker_disconnected(self, worker_id: WorkerId, now: float) -> list[Action]:
+    def on_worker_disconnected(self, worker_id: WorkerId, now: float) -> list[Action]:
         """The connection to a worker was lost."""
         if not self.ownership.handle_disconnect(worker_id):
             self.jobs.look_for_tasks_on(worker_id, now)
             self.dispatcher.give_up_attempts(worker_id, now)
         return self._take_actions(now)
 
-    def stimulus_task_ended(
+    def on_task_ended(
         self,
         worker_id: WorkerId,
         attempt_id: AttemptId,
@@ -182,7 +182,7 @@
         self.dispatcher.pump(now)
         return self._take_actions(now)
 
-    def stimulus_task_refused(
+    def on_task_refused(
         self, worker_id: WorkerId, attempt_id: AttemptId, code: ResultCode, now: float
     ) -> list[Action]:
         """A worker, or the shell before sending, says that an attempt did not start."""
@@ -192,48 +192,48 @@
 
     # Log
 
-    def stimulus_log_start(
+    def on_log_start(
         self, stream: LogStream, first_kept: Offset, next_offset: Offset, now: float
     ) -> list[Action]:
         """The log tells from which offset on it keeps a stream; we want ``next_offset``."""
         self.log.handle_start(stream, first_kept, next_offset)
         return self._take_actions(now)
 
-    def stimulus_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> list[Action]:
+    def on_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> list[Action]:
         """One batch of the cell stream was read."""
         self.log.read_cell(offset, batch, now)
         return self._take_actions(now)
 
-    def stimulus_settings_batch(self, offset: Offset, batch: LogBatch, now: float) -> list[Action]:
+    def on_settings_batch(self, offset: Offset, batch: LogBatch, now: float) -> list[Action]:
         """One batch of the settings stream was read."""
         self.log.read_settings(offset, batch, now)
         return self._take_actions(now)
 
-    def stimulus_append_failed(self, stream: LogStream, now: float) -> list[Action]:
+    def on_append_failed(self, stream: LogStream, now: float) -> list[Action]:
         """An append was refused, or its answer was lost; it is sent again later."""
         self.context.appends[stream].handle_failure(now)
         return self._take_actions(now)
 
-    def stimulus_settings_change(self, apply: SettingsApply, now: float) -> list[Action]:
+    def on_settings_change(self, apply: SettingsApply, now: float) -> list[Action]:
         """An operator changes settings; the fold decides."""
         self.pending_changes.submit(apply, now)
         return self._take_actions(now)
 
-    def stimulus_drain(self, worker_id: WorkerId, draining: bool, now: float) -> list[Action]:
+    def on_drain(self, worker_id: WorkerId, draining: bool, now: float) -> list[Action]:
         """An operator takes a worker out of use or back into it."""
         self.context.cell_appends.add(WorkerDrain(worker_id, draining))
         return self._take_actions(now)
 
     # Peers
 
-    def stimulus_peer_connected(self, peer_id: EntryId, now: float) -> list[Action]:
+    def on_peer_connected(self, peer_id: EntryId, now: float) -> list[Action]:
         """The stream to a peer is up."""
         peer = self.context.peers.peers.get(peer_id)
         if peer is not None:
             peer.connected = True
         return self._take_actions(now)
 
-    def stimulus_peer_disconnected(self, peer_id: EntryId, now: float) -> list[Action]:
+    def on_peer_disconnected(self, peer_id: EntryId, now: float) -> list[Action]:
         """The stream to a peer was lost."""
         peer = self.context.peers.peers.get(peer_id)
         if peer is not None:
@@ -242,7 +242,7 @@
         self.dispatcher.handle_peer_lost(peer_id, now)
         return self._take_actions(now)
 
-    def stimulus_peer_capacity(
+    def on_peer_capacity(
         self,
         peer_id: EntryId,
         free: Resources,
@@ -257,7 +257,7 @@
         self.dispatcher.pump(now)
         return self._take_actions(now)
 
-    def stimulus_peer_request(
+    def on_peer_request(
         self,
         peer_id: EntryId,
         request_id: str,
@@ -277,7 +277,7 @@
         self.dispatcher.place_or_queue(active, now)
         return self._take_actions(now)
 
-    def stimulus_peer_answer(
+    def on_peer_answer(
         self, peer_id: EntryId, request_id: str, answer: Answer, now: float
     ) -> list[Action]:
         """A peer answered a forwarded request or a key query."""
@@ -288,23 +288,21 @@
             self.jobs.handle_task_answer(JobOrigin(*split_task_name(request_id)), answer)
         return self._take_actions(now)
 
-    def stimulus_key_query(
-        self, peer_id: EntryId, request_id: str, key: str, now: float
-    ) -> list[Action]:
+    def on_key_query(self, peer_id: EntryId, request_id: str, key: str, now: float) -> list[Action]:
         """A peer asks for the answer under a key that this entry holds."""
         answer = self.keys.handle_query(peer_id, request_id, key)
         if answer is not None:
             self.context.emit(AnswerPeer(peer_id, request_id, answer))
         return self._take_actions(now)
 
-    def stimulus_job_probe(
+    def on_job_probe(
         self, peer_id: EntryId, probe_id: int, job_ids: list[JobId], now: float
     ) -> list[Action]:
         """A peer that adopted jobs asks what of them runs on our workers."""
         self.jobs.recovery.answer_probe(peer_id, probe_id, job_ids)
         return self._take_actions(now)
 
-    def stimulus_job_probe_reply(
+    def on_job_probe_reply(
         self,
         peer_id: EntryId,
         probe_id: int,
@@ -317,28 +315,24 @@
         self.jobs.continue_recovered(now)
         return self._take_actions(now)
 
-    def stimulus_task_answer(self, task_name: TaskName, answer: Answer, now: float) -> list[Action]:
+    def on_task_answer(self, task_name: TaskName, answer: Answer, now: float) -> list[Action]:
         """A peer passed on the answer of a task of a job that this entry runs."""
         self.jobs.handle_task_answer(JobOrigin(*split_task_name(task_name)), answer)
         return self._take_actions(now)
 
-    def stimulus_holdover_request(
-        self, peer_id: EntryId, round_number: int, now: float
-    ) -> list[Action]:
+    def on_holdover_request(self, peer_id: EntryId, round_number: int, now: float) -> list[Action]:
         """A zone peer without the log asks for a promise."""
         self.holdover.handle_request(peer_id, round_number, now)
         return self._take_actions(now)
 
-    def stimulus_holdover_grant(
-        self, peer_id: EntryId, round_number: int, now: float
-    ) -> list[Action]:
+    def on_holdover_grant(self, peer_id: EntryId, round_number: int, now: float) -> list[Action]:
         """A zone peer promised to claim nothing of ours."""
         self.holdover.handle_grant(peer_id, round_number)
         return self._take_actions(now)
 
     # Time and stopping
 
-    def stimulus_tick(self, now: float) -> list[Action]:
+    def on_tick(self, now: float) -> list[Action]:
         """Some time has passed."""
         self.ownership.plan(now)
         self.ownership.reattach(now)
@@ -356,11 +350,11 @@
         self.planned_stop.keep(now)
         return self._take_actions(now)
 
-    def stimulus_stop(self, now: float) -> list[Action]:
+    def on_stop(self, now: float) -> list[Action]:
         """Begin a planned stop: take no new work, finish what is in progress."""
         self.planned_stop.begin(now)
         self.peers.advertise_soon()
-        return self.stimulus_tick(now)
+        return self.on_tick(now)
 
     def flush_appends(self, now: float) -> list[Action]:
         """Send waiting records whose time has come."""
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -20,7 +20,7 @@
     """Append to the shard's partition; unknown without an answer in time."""
 
     append: ShardAppend
-    patience_seconds: float
+    answer_timeout_seconds: float
 
 
 class WorkerAddress(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
 
     address: WorkerAddress
     token: Token
-    last_seen: int
+    acknowledged_through: int
     until_ms: int
     wait_ms: int
     number: int
@@ -79,7 +79,7 @@
     percent: int
 
 
-class AskAdvice(msgspec.Struct, frozen=True):
+class RequestAdvice(msgspec.Struct, frozen=True):
     """Let one of the entries ask the advice service about a step."""
 
     call_id: int
@@ -88,7 +88,7 @@
     worker_ids: tuple[WorkerId, ...]
 
 
-class AskQuota(msgspec.Struct, frozen=True):
+class RequestQuota(msgspec.Struct, frozen=True):
     """Ask the holder of a tenant's home shard for a part of its quota."""
 
     home: ShardId
@@ -123,7 +123,7 @@
     seconds: float
 
 
-class JobBegun(msgspec.Struct, frozen=True):
+class JobStarted(msgspec.Struct, frozen=True):
     """A worker has the first run of a job; for figures."""
 
     queue: str
@@ -146,7 +146,7 @@
     outcome: ReturnOutcome
 
 
-class AdviceAsked(msgspec.Struct, frozen=True):
+class AdviceRequested(msgspec.Struct, frozen=True):
     """A call for advice left the line after so many seconds; for figures."""
 
     queue: str
@@ -161,7 +161,7 @@
     WORKER_FENCED = "worker_fenced"
     OUT_OF_SEQUENCE = "out_of_sequence"
     PLANNED = "planned"
-    STORE_AWAY = "store_away"
+    STORE_UNREACHABLE = "store_away"
     LARGER_NODE = "larger_node"
 
 
@@ -171,7 +171,7 @@
     reason: StepDownReason
 
 
-class Decision(msgspec.Struct, frozen=True):
+class DecisionLogLine(msgspec.Struct, frozen=True):
     """One line for the log: what was decided or believed, and from what."""
 
     event: str
@@ -184,15 +184,15 @@
     | SendStart
     | SendStop
     | SendPace
-    | AskAdvice
-    | AskQuota
+    | RequestAdvice
+    | RequestQuota
     | ReplyToCall
     | DropWorkerConnections
-    | JobBegun
+    | JobStarted
     | JobEnded
     | CallerReturned
-    | AdviceAsked
+    | AdviceRequested
     | LayoutKnown
     | StepDown
-    | Decision
+    | DecisionLogLine
 )
--- a/src/onyxspoke/core/shard/call_desk.py
+++ b/src/onyxspoke/core/shard/call_handler.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from onyxspoke.core.admission.returns import Refused
+from onyxspoke.core.admission.refused_jobs import RefusedJob
 from onyxspoke.core.jobs.book import Submission
 from onyxspoke.core.jobs.model import JobId, JobSpec, QueuePolicy
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.shard.actions import ReplyToCall
-from onyxspoke.core.shard.admission_desk import AdmissionDesk
+from onyxspoke.core.shard.admission_controller import AdmissionController
 from onyxspoke.core.shard.calls import (
     Call,
     CallReply,
@@ -25,11 +25,11 @@
     ReplyCode,
     StateCall,
     SubmitCall,
-    WaitingCall,
+    WaitingCountCall,
 )
 from onyxspoke.core.shard.context import ShardContext
-from onyxspoke.core.shard.quota_desk import QuotaDesk
-from onyxspoke.core.shard.run_keeper import RunKeeper
+from onyxspoke.core.shard.quota_coordinator import QuotaCoordinator
+from onyxspoke.core.shard.run_manager import RunManager
 from onyxspoke.core.tenants.keys import may_see
 
 #: An append that is open for so long, beyond trouble, leaves what waits for it unknown.
@@ -41,27 +41,27 @@
 _ANOTHER_TENANTS = "identifier_of_another_tenant"
 
 
-class CallDesk:
+class CallHandler:
     """Answers the calls that reach a holder.
 
     Parameters
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunKeeper
+    runs : RunManager
         Stops the runs of a cancelled job.
-    quotas : QuotaDesk
+    quotas : QuotaCoordinator
         Lends quotas to other shards.
-    admission : AdmissionDesk
+    admission : AdmissionController
         Decides whether jobs are taken.
     """
 
     def __init__(
         self,
         context: ShardContext,
-        runs: RunKeeper,
-        quotas: QuotaDesk,
-        admission: AdmissionDesk,
+        runs: RunManager,
+        quotas: QuotaCoordinator,
+        admission: AdmissionController,
     ) -> None:
         self._context = context
         self._runs = runs
@@ -87,7 +87,7 @@
 
     def keep(self, now: float) -> None:
         """Answer at once those whom the store keeps waiting."""
-        if self._unsent and self._context.commit.is_in_trouble(now):
+        if self._unsent and self._context.commit.is_append_overdue(now):
             self._refuse_unsent(now)
         if self._unproven and self._is_silent(now):
             for pending in self._unproven.values():
@@ -96,7 +96,7 @@
 
     def note_append_sent(self) -> None:
         """Keep the jobs that an append which was sent has: they can no longer be refused."""
-        jobs = self._context.book.jobs
+        jobs = self._context.job_registry.jobs
         for call_id, pending in list(self._unsent.items()):
             job = jobs.get(pending.job_id)
             if job is None or job.spec_is_stored:
@@ -106,9 +106,9 @@
 
     def _submit(self, call_id: int, spec: JobSpec, now: float) -> None:
         context = self._context
-        book = context.book
+        job_registry = context.job_registry
         job_id = spec.job_id
-        known = book.jobs.get(job_id)
+        known = job_registry.jobs.get(job_id)
         if known is not None and not may_see(known.spec.tenant, spec.tenant):
             self._refuse(_PendingReply(context, call_id, job_id), _ANOTHER_TENANTS)
             return
@@ -116,16 +116,16 @@
             # The store has it, whoever holds the shard by now.
             context.emit(ReplyToCall(call_id, CallReply(code=ReplyCode.OK)))
             return
-        if known is None and context.commit.is_in_trouble(now):
-            if self._admission.is_on:
-                spec = self._mark_share(spec, self._admission.find_refused(spec), now)
-            retries = self._admission.refuse_for_store([spec], now)
+        if known is None and context.commit.is_append_overdue(now):
+            if self._admission.is_enabled:
+                spec = self._mark_share(spec, self._admission.find_refused_job(spec), now)
+            retries = self._admission.refuse_for_unreachable_store([spec], now)
             self._refuse(_PendingReply(context, call_id, job_id), _IN_TROUBLE, retries.get(job_id))
             return
-        is_new = known is None and not book.was_cancelled_before(spec)
-        refused = self._admission.find_refused(spec) if is_new else None
-        first_at = self._admission.first_at(refused, now)
-        spec = msgspec.structs.replace(spec, accepted_at_ms=context.wall_ms(first_at))
+        is_new = known is None and not job_registry.was_cancelled_before(spec)
+        refused = self._admission.find_refused_job(spec) if is_new else None
+        first_submitted_at = self._admission.first_submitted_at(refused, now)
+        spec = msgspec.structs.replace(spec, accepted_at_ms=context.wall_ms(first_submitted_at))
         if is_new:
             spec = self._mark_share(spec, refused, now)
             refusal = self._admission.decide(spec, refused, now)
@@ -133,16 +133,16 @@
                 pending = _PendingReply(context, call_id, job_id)
                 self._refuse(pending, refusal.reason.value, refusal.retry_after_seconds)
                 return
-        outcome = book.submit(spec, now, first_at)
-        context.wants_placement = True
+        outcome = job_registry.submit(spec, now, first_submitted_at)
+        context.needs_placement = True
         if outcome is Submission.NEW:
             self._log_taken(spec)
         pending = _PendingReply(context, call_id, job_id, "job_accepted")
-        if job_id in book.dirty:
+        if job_id in job_registry.dirty:
             self._unsent[call_id] = pending
         context.commit.after_commit(pending.confirm(CallReply(code=ReplyCode.OK)))
 
-    def _mark_share(self, spec: JobSpec, refused: Refused | None, now: float) -> JobSpec:
+    def _mark_share(self, spec: JobSpec, refused: RefusedJob | None, now: float) -> JobSpec:
         """Return a new job with the mark whether its tenant is owed it.
 
         The mark of its first hand-in stays: were a returning job to ask for it again, what a tenant
@@ -151,11 +151,11 @@
         """
         context = self._context
         policy = context.policy.tenants.get(spec.tenant)
-        if refused is not None and now <= refused.last_use_at:
-            is_owed = refused.is_owed
+        if refused is not None and now <= refused.expires_at:
+            is_entitled = refused.is_entitled
         else:
-            is_owed = context.shares.take(policy, context.shard_count, now)
-        return msgspec.structs.replace(spec, is_beyond_share=not is_owed)
+            is_entitled = context.shares.take(policy, context.shard_count, now)
+        return msgspec.structs.replace(spec, is_over_share=not is_entitled)
 
     def _log_taken(self, spec: JobSpec) -> None:
         self._context.log(
@@ -163,7 +163,7 @@
             job=spec.job_id,
             queue=spec.queue.name,
             tenant=spec.tenant,
-            beyond_share=int(spec.is_beyond_share),
+            beyond_share=int(spec.is_over_share),
             steps=len(spec.steps),
             tasks=sum(step.task_count for step in spec.steps),
             estimated_ms=",".join(str(step.estimated_ms) for step in spec.steps),
@@ -176,18 +176,18 @@
     def _cancel(self, call_id: int, call: CancelCall, now: float) -> None:
         context = self._context
         job_id = call.job_id
-        job = context.book.cancel(job_id, call.tenant, now)
+        job = context.job_registry.cancel(job_id, call.tenant, now)
         context.log("job_cancel", job=job_id, known=int(job is not None))
         if job is not None:
-            self._runs.stop_job_runs(job.steps(), now, "job_cancelled")
-        context.wants_placement = True
+            self._runs.stop_runs_of(job.steps(), now, "job_cancelled")
+        context.needs_placement = True
         code = ReplyCode.OK if job is not None else ReplyCode.NO_SUCH_JOB
         self._reply_later(call_id, job_id, CallReply(code=code), context.commit.after_commit, now)
 
     def _tell_state(self, call_id: int, call: StateCall, now: float) -> None:
         context = self._context
         job_id = call.job_id
-        job = context.book.find_visible(job_id, call.tenant)
+        job = context.job_registry.find_visible(job_id, call.tenant)
         if job is not None and job.committed_state is not None:
             state = job.committed_state.name.lower()
             context.emit(ReplyToCall(call_id, CallReply(code=ReplyCode.OK, state=state)))
@@ -196,8 +196,8 @@
         reply = CallReply(code=ReplyCode.NO_SUCH_JOB)
         self._reply_later(call_id, job_id, reply, context.commit.after_proof, now)
 
-    def _tell_waiting(self, call_id: int, call: WaitingCall) -> None:
-        waiting = self._context.book.waiting_count(call.queue)
+    def _tell_waiting(self, call_id: int, call: WaitingCountCall) -> None:
+        waiting = self._context.job_registry.waiting_count(call.queue)
         self._context.emit(ReplyToCall(call_id, CallReply(code=ReplyCode.OK, waiting=waiting)))
 
     # Answers
@@ -225,16 +225,16 @@
 
     def _refuse_unsent(self, now: float) -> None:
         """Refuse the jobs of which no append that was sent says anything."""
-        book = self._context.book
-        jobs = [book.jobs.get(pending.job_id) for pending in self._unsent.values()]
+        job_registry = self._context.job_registry
+        jobs = [job_registry.jobs.get(pending.job_id) for pending in self._unsent.values()]
         unsent = {job.job_id: job.spec for job in jobs if job is not None and _is_unsent(job)}
-        retries = self._admission.refuse_for_store(list(unsent.values()), now)
+        retries = self._admission.refuse_for_unreachable_store(list(unsent.values()), now)
         withdrawn = set()
         for pending in self._unsent.values():
-            job = book.jobs.get(pending.job_id)
+            job = job_registry.jobs.get(pending.job_id)
             if job is not None and _is_unsent(job):
-                self._runs.stop_job_runs(job.steps(), now, "job_refused")
-                book.withdraw(pending.job_id)
+                self._runs.stop_runs_of(job.steps(), now, "job_refused")
+                job_registry.withdraw(pending.job_id)
                 withdrawn.add(pending.job_id)
             if pending.job_id in withdrawn:
                 self._refuse(pending, _IN_TROUBLE, retries.get(pending.job_id))
@@ -256,7 +256,7 @@
         return self._context.options.refusal_retry_seconds
 
     def _is_silent(self, now: float) -> bool:
-        return self._context.commit.is_in_trouble(now, SILENCE_SECONDS)
+        return self._context.commit.is_append_overdue(now, SILENCE_SECONDS)
 
 
 def _advice_ms(queue: QueuePolicy) -> int:
--- a/src/onyxspoke/core/shard/calls.py
+++ b/src/onyxspoke/core/shard/calls.py
@@ -31,7 +31,7 @@
     tenant: TenantName = ""
 
 
-class WaitingCall(msgspec.Struct, frozen=True, array_like=True, tag=4):
+class WaitingCountCall(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """Ask how many accepted jobs of a queue have not begun."""
 
     queue: str
@@ -43,30 +43,30 @@
     request: QuotaRequest
 
 
-Call = SubmitCall | CancelCall | StateCall | WaitingCall | QuotaCall
+Call = SubmitCall | CancelCall | StateCall | WaitingCountCall | QuotaCall
 
 #: Names of the calls in logs and figures.
 CALL_NAMES: dict[type[Call], str] = {
     SubmitCall: "submit",
     CancelCall: "cancel",
     StateCall: "state",
-    WaitingCall: "waiting",
+    WaitingCountCall: "waiting",
     QuotaCall: "quota",
 }
 
 
-def job_of(call: Call) -> JobId:
+def job_id_of(call: Call) -> JobId:
     """Return the job that a call is about, or nothing."""
     if isinstance(call, SubmitCall):
         return call.job.job_id
-    return "" if isinstance(call, (WaitingCall, QuotaCall)) else call.job_id
+    return "" if isinstance(call, (WaitingCountCall, QuotaCall)) else call.job_id
 
 
 def queue_of(call: Call) -> str:
     """Return the queue that a call names, or nothing."""
     if isinstance(call, SubmitCall):
         return call.job.queue.name
-    return call.queue if isinstance(call, WaitingCall) else ""
+    return call.queue if isinstance(call, WaitingCountCall) else ""
 
 
 class ReplyCode(Enum):
@@ -91,7 +91,7 @@
     state : str
         The job's state as a word, for :class:`StateCall`.
     waiting : int
-        For :class:`WaitingCall`.
+        For :class:`WaitingCountCall`.
     granted : Needs or None
         What may be running, for :class:`QuotaCall`.
     retry_after_seconds : float
--- a/src/onyxspoke/core/shard/commit.py
+++ b/src/onyxspoke/core/shard/commit.py
@@ -70,7 +70,7 @@
 
     Attributes
     ----------
-    proof_at : float
+    ownership_proven_at : float
         When the latest append that succeeded was sent: the shard was ours then.
     interval_seconds : float
         Pause between two appends at least.
@@ -81,7 +81,7 @@
     shard: ShardId
     epoch: int
     next_sequence: int
-    proof_at: float
+    ownership_proven_at: float
     collect: Callable[[int], list[ShardRecord]]
     renew: Callable[[], ShardRecord]
     is_dirty: Callable[[], bool]
@@ -97,7 +97,7 @@
     #: The append that was handed out last.
     _handed_out: _Batch | None = None
 
-    def is_in_trouble(self, now: float, bound_seconds: float = TROUBLE_SECONDS) -> bool:
+    def is_append_overdue(self, now: float, bound_seconds: float = TROUBLE_SECONDS) -> bool:
         """Return whether the store keeps an append open for longer than it should."""
         if not self._open:
             return False
@@ -148,7 +148,7 @@
         usual = PATIENCE_SECONDS[(batch.attempts - 1) % len(PATIENCE_SECONDS)]
         return max(usual, PATIENCE_FACTOR * self.latest_seconds)
 
-    def next_moment(self) -> float | None:
+    def next_wakeup_at(self) -> float | None:
         """Return when :meth:`next_append` may have something to send, if nothing comes in."""
         moments = [batch.retry_at for batch in self._open if batch.retry_at is not None]
         if self._open:
@@ -192,7 +192,7 @@
     # Appends
 
     def _is_renewal_due(self, now: float) -> bool:
-        return now - max(self._last_sent_at, self.proof_at) >= RENEWAL_SECONDS
+        return now - max(self._last_sent_at, self.ownership_proven_at) >= RENEWAL_SECONDS
 
     def _next_opening_at(self) -> float:
         """Return when one more append may be sent; infinity while answers are waited for."""
@@ -227,7 +227,7 @@
         """Have the effects of an append, and of those before it, which the store must have."""
         self.latest_seconds = call_seconds
         # A repeat may be answered as the first time, so only the first sending proves.
-        self.proof_at = max(self.proof_at, batch.opened_at)
+        self.ownership_proven_at = max(self.ownership_proven_at, batch.opened_at)
         count = self._open.index(batch) + 1
         done, self._open = self._open[:count], self._open[count:]
         if self._open:
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -9,11 +9,11 @@
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.jobs.book import JobBook
 from onyxspoke.core.jobs.policy import PolicySet
-from onyxspoke.core.placement.advice_desk import AdviceDesk
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.shard.actions import (
-    Decision,
+    DecisionLogLine,
     FieldValue,
     ShardAction,
     StepDown,
@@ -40,7 +40,7 @@
         Longest lease that a worker grants.
     stop_grace_ms : int
         Longest time that a stop takes at a worker.
-    status_seconds : float
+    finished_job_retention_seconds : float
         For how long a finished job is remembered.
     early_ms : float
         How far ahead of its time a repetition may begin.
@@ -48,7 +48,7 @@
         An order to start is void so long after it was sent.
     hold_wait_ms : int
         For how long a worker's answer may wait for an end.
-    hold_pause_seconds : float
+    hold_interval_seconds : float
         Pause between two looks at a worker, so that ends close together share one.
     proof_seconds : float
         For how long after the latest proof of holding orders may be given.
@@ -60,11 +60,11 @@
 
     maximum_hold_ms: int = 6_000
     stop_grace_ms: int = 1_000
-    status_seconds: float = 120.0
+    finished_job_retention_seconds: float = 120.0
     early_ms: float = 0.0
     start_validity_ms: int = 1_200
     hold_wait_ms: int = 1_000
-    hold_pause_seconds: float = 0.03
+    hold_interval_seconds: float = 0.03
     proof_seconds: float = 4.0
     refusal_retry_seconds: float = 1.0
     load: LoadOptions = LoadOptions()
@@ -89,9 +89,9 @@
         self.options = options
         self.token = token
         self.durations = Durations(options.load.learned_estimates)
-        self.book = JobBook(options.status_seconds, self.durations.work_of)
+        self.job_registry = JobBook(options.finished_job_retention_seconds, self.durations.work_of)
         self.table = WorkerTable()
-        self.desk = AdviceDesk(shard, options.load.advice_shares)
+        self.advice_dispatcher = AdviceDispatcher(shard, options.load.advice_shares)
         self.shard = shard
         self.ledger = QuotaLedger()
         self.bank = QuotaBank(shard)
@@ -101,8 +101,8 @@
         self.policy = PolicySet()
         self.commit: CommitQueue
         self.actions: list[ShardAction] = []
-        self.wants_placement = False
-        self.is_over = False
+        self.needs_placement = False
+        self.has_stepped_down = False
         #: The cell's layout, until an append carries it.
         self.new_layout: CellLayout | None = None
         #: Until then nobody can claim the shard, because no node reaches the store.
@@ -111,7 +111,7 @@
         self.wall_offset_ms: float | None = None
         #: The latest moment at which the process found that it had stood still; the shard may have
         #: become another's meanwhile.
-        self.paused_until = -math.inf
+        self.stall_ended_at = -math.inf
 
     def emit(self, action: ShardAction) -> None:
         """Hand an instruction to the shell."""
@@ -119,7 +119,7 @@
 
     def log(self, event: str, **fields: FieldValue) -> None:
         """Write one line about a decision."""
-        self.actions.append(Decision(event, tuple(fields.items())))
+        self.actions.append(DecisionLogLine(event, tuple(fields.items())))
 
     def wall_ms(self, now: float) -> int:
         """Return the time of day, counted from 1970; 0 while it is not known."""
@@ -129,16 +129,16 @@
 
     def step_down(self, reason: StepDownReason) -> None:
         """Give the shard up; nothing is ordered any more."""
-        if not self.is_over:
-            self.is_over = True
+        if not self.has_stepped_down:
+            self.has_stepped_down = True
             self.actions.append(StepDown(reason))
 
-    def may_order(self, now: float) -> bool:
+    def may_send_orders(self, now: float) -> bool:
         """Return whether the shard is surely still ours, so that workers may be ordered."""
         # An append that was sent before a pause proves nothing of the time since.
-        if self.is_over or self.commit.proof_at < self.paused_until:
+        if self.has_stepped_down or self.commit.ownership_proven_at < self.stall_ended_at:
             return False
-        proven_until = self.commit.proof_at + self.options.proof_seconds
+        proven_until = self.commit.ownership_proven_at + self.options.proof_seconds
         return now < max(proven_until, self.unclaimable_until)
 
 
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -12,12 +12,12 @@
 
 from onyxspoke.core.shard.election_actions import (
     BecomeHolder,
+    ConnectionLossReason,
     ConnectToHolder,
     ElectionAction,
-    ElectionNote,
+    ElectionLogLine,
     ElectionState,
     HolderChanged,
-    LossReason,
     NodeIdentity,
     ReadClaim,
     SendClaim,
@@ -86,7 +86,7 @@
         Returns a random number of at least 0 and below 1.
     started_at : float
         When this process began; earlier lives on this host ended before.
-    handicap : callable
+    load_delay_seconds : callable
         Returns for how many seconds this node leaves a shard to nodes that hold fewer.
     """
 
@@ -96,18 +96,18 @@
         identity: NodeIdentity,
         draw: Callable[[], float],
         started_at: float,
-        handicap: Callable[[], float] = lambda: 0.0,
+        load_delay_seconds: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self._shard = shard
         self._identity = identity
         self._draw = draw
         self._started_at = started_at
-        self._handicap = handicap
+        self._load_delay_seconds = load_delay_seconds
         self.state = ElectionState.READING
         self.claim: ClaimRecord | None = None
         self._end = -1
         #: Nodes that are to take over, by the word of the holder, in the order of their turns.
-        self.members: list[NodeIdentity] = []
+        self.successors: list[NodeIdentity] = []
         self._pacing = StorePacing()
         self._turn_handicap = 0.0
         self._due_at = 0.0
@@ -125,7 +125,7 @@
         self._claim_sent_at = 0.0
         self._claim_last_sent_at = 0.0
         self._claim_attempts = 0
-        self._former_token = 0
+        self._previous_token = 0
         self._rest_until = -math.inf
         self.actions: list[ElectionAction] = []
 
@@ -135,13 +135,13 @@
         """Begin to look for the holder."""
         self._read(now, "started")
 
-    def rest_until(self, moment: float) -> None:
+    def defer_claims_until(self, moment: float) -> None:
         """Claim nothing before a moment: others are to take over."""
         self._rest_until = moment
 
-    def set_members(self, members: list[NodeIdentity]) -> None:
+    def set_successors(self, successors: list[NodeIdentity]) -> None:
         """Take the nodes that are to take over, in the order of their turns."""
-        self.members = members
+        self.successors = successors
 
     def set_pacing(self, pacing: StorePacing) -> None:
         """Take how often the store may be called by nodes that are not to take over."""
@@ -187,28 +187,32 @@
         known = self.claim
         if known is None or peer.host != known.host:
             return
-        if claim is not None and claim.token == known.token and peer.life == known.life:
+        if (
+            claim is not None
+            and claim.token == known.token
+            and peer.incarnation == known.incarnation
+        ):
             self._silence_seconds = max(SILENCE_SECONDS, INTERVALS_TO_SILENCE * interval_seconds)
             self._follow(now, known)
         elif self.state in _LOOKING_AT_HOLDER:
-            if peer.life != known.life:
+            if peer.incarnation != known.incarnation:
                 self._dead_since = now
             elif now - self._unconfirmed_since < UNCONFIRMED_SECONDS:
                 return
             self._suspects_death = True
             self._read(now, "holder_let_go")
 
-    def handle_peer_lost(self, host: str, reason: LossReason, now: float) -> None:
+    def handle_peer_lost(self, host: str, reason: ConnectionLossReason, now: float) -> None:
         """The stream to a peer ended, or none came about."""
         claim = self.claim
         if claim is None or host != claim.host:
             return
         if self.state not in _LOOKING_AT_HOLDER:
             return
-        if reason is LossReason.REFUSED:
+        if reason is ConnectionLossReason.REFUSED:
             self._suspects_death = True
             self._read(now, "holder_refuses")
-        elif reason is LossReason.CLOSED and self.state is ElectionState.FOLLOWING:
+        elif reason is ConnectionLossReason.CLOSED and self.state is ElectionState.FOLLOWING:
             self._connect(now, "stream_closed")
         elif self.state is not ElectionState.WATCHING:
             self._watch(now, "holder_silent")
@@ -237,7 +241,7 @@
         """Return whether the claim that is known is that of a host."""
         return self.claim is not None and self.claim.host == host
 
-    def is_quiet(self, now: float) -> bool:
+    def is_idle(self, now: float) -> bool:
         """Return whether the passing of time changes nothing."""
         return (
             self.state is ElectionState.FOLLOWING and now - self._heard_at <= self._silence_seconds
@@ -268,10 +272,10 @@
 
         A node that has taken over another shard meanwhile leaves this one to others.
         """
-        handicap = self._handicap()
-        if handicap > self._turn_handicap:
-            self._due_at = now + handicap - self._turn_handicap
-            self._turn_handicap = handicap
+        load_delay_seconds = self._load_delay_seconds()
+        if load_delay_seconds > self._turn_handicap:
+            self._due_at = now + load_delay_seconds - self._turn_handicap
+            self._turn_handicap = load_delay_seconds
         elif not self._is_named and now - self._looked_at > FRESH_LOOK_SECONDS:
             self._due_at = now + FRESH_LOOK_SECONDS / 2
             if not self._is_reading:
@@ -306,7 +310,7 @@
         self._suspects_death = False
         if claim.host == self._identity.host:
             # An earlier life on this host, or a claim of ours that landed late.
-            if claim.life != self._identity.life:
+            if claim.incarnation != self._identity.incarnation:
                 self._dead_since = self._started_at
             self._wait_turn(now, 0.0, "own_earlier_claim")
         else:
@@ -317,7 +321,7 @@
         self._silence_seconds = SILENCE_SECONDS
         self._dead_since = None
         self._suspects_death = False
-        if claim.life != peer.life:
+        if claim.incarnation != peer.incarnation:
             self._connect(now, "claim_told")
             return
         if self.state is ElectionState.FOLLOWING:
@@ -355,7 +359,7 @@
     @property
     def _is_named(self) -> bool:
         """Whether this node is to take over, by the word of the holder."""
-        return any(member.host == self._identity.host for member in self.members)
+        return any(member.host == self._identity.host for member in self.successors)
 
     def _pause(self, seconds: float) -> float:
         """Return the pause before the next look, longer at nodes that are not to take over."""
@@ -363,7 +367,7 @@
 
     def _turn_delay(self, claim: ClaimRecord) -> float:
         """Return how long to leave the claim to nodes that come before us."""
-        candidates = [member.host for member in self.members if member.host != claim.host]
+        candidates = [member.host for member in self.successors if member.host != claim.host]
         if self._identity.host in candidates:
             return min(candidates.index(self._identity.host) * TURN_SECONDS, LONGEST_TURN_SECONDS)
         delay = min((len(candidates) + self._draw()) * TURN_SECONDS, LONGEST_TURN_SECONDS)
@@ -371,10 +375,10 @@
 
     def _first_turn_delay(self) -> float:
         """Return how long to leave a shard that nobody ever held to others."""
-        hosts = [member.host for member in self.members]
+        hosts = [member.host for member in self.successors]
         if self._identity.host in hosts:
-            return self._handicap() + hosts.index(self._identity.host) * TURN_SECONDS
-        delay = LONGEST_TURN_SECONDS if hosts else self._handicap()
+            return self._load_delay_seconds() + hosts.index(self._identity.host) * TURN_SECONDS
+        delay = LONGEST_TURN_SECONDS if hosts else self._load_delay_seconds()
         if self._identity.weight < 1.0:
             delay += SMALL_NODE_SECONDS
         return delay + self._draw() * max(FIRST_TURN_SECONDS, self._pacing.look_seconds)
@@ -384,7 +388,7 @@
     def _move(self, state: ElectionState, now: float, reason: str) -> None:
         self.state = state
         token = self.claim.token if self.claim is not None else 0
-        self.actions.append(ElectionNote(state, reason, token))
+        self.actions.append(ElectionLogLine(state, reason, token))
 
     def _read(self, now: float, reason: str) -> None:
         if self.state is not ElectionState.READING:
@@ -426,7 +430,7 @@
             self._move(ElectionState.READING, now, "resting")
             return
         self._move(ElectionState.WAITING_TURN, now, reason)
-        self._turn_handicap = self._handicap()
+        self._turn_handicap = self._load_delay_seconds()
         self._due_at = now + delay
         if delay <= 0:
             self._claim(now)
@@ -435,8 +439,10 @@
         identity = self._identity
         token = self._end + 1
         # The claim that was read with this end, or was told of before: the end would have moved.
-        self._former_token = self.claim.token if self.claim is not None else 0
-        claim = ClaimRecord(life=identity.life, host=identity.host, port=identity.port, token=token)
+        self._previous_token = self.claim.token if self.claim is not None else 0
+        claim = ClaimRecord(
+            incarnation=identity.incarnation, host=identity.host, port=identity.port, token=token
+        )
         self._pending_claim = claim
         self._pending = ShardAppend(
             shard=self._shard,
@@ -468,8 +474,8 @@
                 claim=self._pending_claim,
                 next_sequence=pending.sequence + 1,
                 claimed_at=self._claim_sent_at,
-                store_seconds=now - self._claim_last_sent_at,
-                former_dead_since=self._dead_since,
-                former_token=self._former_token,
+                claim_call_seconds=now - self._claim_last_sent_at,
+                previous_holder_dead_since=self._dead_since,
+                previous_token=self._previous_token,
             )
         )
--- a/src/onyxspoke/core/shard/election_actions.py
+++ b/src/onyxspoke/core/shard/election_actions.py
@@ -21,7 +21,7 @@
     HOLDING = "holding"
 
 
-class LossReason(Enum):
+class ConnectionLossReason(Enum):
     """How a connection to a peer ended, or failed.
 
     ``REFUSED``: nobody listens there.  ``CLOSED``: it was closed or reset.  ``SILENT``:
@@ -36,7 +36,7 @@
 class NodeIdentity(msgspec.Struct, frozen=True, array_like=True):
     """One life of a node's process, and where its peers reach it."""
 
-    life: str
+    incarnation: str
     host: str
     port: int
     zone: str = ""
@@ -62,18 +62,19 @@
 
 
 class BecomeHolder(msgspec.Struct, frozen=True):
-    """The claim stands; ``former_dead_since`` is known where the former holder has ended.
+    """The claim stands; ``previous_holder_dead_since`` is known where the former holder has ended.
 
-    ``store_seconds`` is how long the store took to answer the claim; ``former_token`` is that of
+    ``claim_call_seconds`` is how long the store took to answer the claim; ``previous_token`` is
+    that of
     the claim which it replaces, 0 where there was none.
     """
 
     claim: ClaimRecord
     next_sequence: int
     claimed_at: float
-    store_seconds: float
-    former_dead_since: float | None
-    former_token: int = 0
+    claim_call_seconds: float
+    previous_holder_dead_since: float | None
+    previous_token: int = 0
 
 
 class HolderChanged(msgspec.Struct, frozen=True):
@@ -82,7 +83,7 @@
     claim: ClaimRecord | None
 
 
-class ElectionNote(msgspec.Struct, frozen=True):
+class ElectionLogLine(msgspec.Struct, frozen=True):
     """One line for the log."""
 
     state: ElectionState
@@ -91,5 +92,5 @@
 
 
 ElectionAction = (
-    ReadClaim | ConnectToHolder | SendClaim | BecomeHolder | HolderChanged | ElectionNote
+    ReadClaim | ConnectToHolder | SendClaim | BecomeHolder | HolderChanged | ElectionLogLine
 )
--- a/src/onyxspoke/core/shard/estimates_keeper.py
+++ b/src/onyxspoke/core/shard/estimates_manager.py
@@ -17,7 +17,7 @@
 RECORD_SECONDS = 5.0
 
 
-class EstimatesKeeper:
+class EstimatesManager:
     """Looks after what is learned.
 
     Parameters
@@ -32,10 +32,10 @@
         self._looked_at = 0.0
         self._has_changed = False
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Work out anew what was learned, if that is due, and tell what changed much."""
         durations = self._context.durations
-        durations.watched_since = max(durations.watched_since, self._context.paused_until)
+        durations.watched_since = max(durations.watched_since, self._context.stall_ended_at)
         if not durations.keep(now):
             return
         self._looked_at = now
@@ -44,7 +44,7 @@
             self._log(change)
 
     @property
-    def wants_append(self) -> bool:
+    def needs_append(self) -> bool:
         """Whether so much changed that a record is worth an append of its own."""
         return self._has_changed and self._is_due
 
--- a/src/onyxspoke/core/shard/evacuation.py
+++ b/src/onyxspoke/core/shard/evacuation.py
@@ -13,7 +13,7 @@
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 from onyxspoke.core.shard.context import ShardContext
-from onyxspoke.core.shard.run_keeper import RunKeeper
+from onyxspoke.core.shard.run_manager import RunManager
 
 #: Kept back of a leaving worker's time, for the stop and its answer to get through.
 RESERVE_SECONDS = 0.5
@@ -25,15 +25,15 @@
 class Evacuation:
     """Empties workers that are leaving."""
 
-    def __init__(self, context: ShardContext, runs: RunKeeper) -> None:
+    def __init__(self, context: ShardContext, runs: RunManager) -> None:
         self._context = context
         self._runs = runs
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Stop what must go on elsewhere."""
         for worker in self._context.table.workers.values():
             is_leaving = worker.listing is WorkerListing.DRAINING
-            if is_leaving and worker.contact is WorkerContact.SETTLED:
+            if is_leaving and worker.contact is WorkerContact.RECONCILED:
                 for run in list(worker.runs.values()):
                     if run.state is RunState.RUNNING and self._must_move(worker, run, now):
                         self._runs.stop(run, now, "worker_leaving")
@@ -42,7 +42,7 @@
         step = run.task.step.spec
         if step.long_running:
             return True
-        left = worker.leaves_at - now
+        left = worker.earliest_exit_at - now
         if remaining_seconds(run, now) * CAUTION_FACTOR < left:
             return False
         if not step.checkpointing:
--- a/src/onyxspoke/core/shard/journal.py
+++ b/src/onyxspoke/core/shard/journal.py
@@ -24,7 +24,7 @@
 from onyxspoke.core.placement.worker_record import WorkerRecord
 from onyxspoke.core.shard.actions import JobEnded, LayoutKnown
 from onyxspoke.core.shard.context import ShardContext
-from onyxspoke.core.shard.estimates_keeper import EstimatesKeeper, restore_estimates_record
+from onyxspoke.core.shard.estimates_manager import EstimatesManager, restore_estimates_record
 from onyxspoke.core.shard.layout import encode_layout, find_layout
 from onyxspoke.core.shard.log_records import (
     CLAIM_KEY,
@@ -34,7 +34,7 @@
     ShardRecord,
     encode_claim,
 )
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 from onyxspoke.core.tenants.bank import QUOTA_PREFIX
 
 #: A job that waits is not taken for older than this, whatever the clocks say.
@@ -49,12 +49,12 @@
     def __init__(
         self,
         context: ShardContext,
-        register: WorkerRegister,
-        estimates: EstimatesKeeper,
+        worker_registry: WorkerRegistry,
+        estimates: EstimatesManager,
         claim: ClaimRecord,
     ) -> None:
         self._context = context
-        self._register = register
+        self._worker_registry = worker_registry
         self._estimates = estimates
         self._claim = claim
         self._has_marked = False
@@ -63,11 +63,11 @@
         """Return whether something has changed that no append carries yet."""
         context = self._context
         return (
-            bool(context.book.dirty)
-            or self._register.is_dirty
+            bool(context.job_registry.dirty)
+            or self._worker_registry.is_dirty
             or bool(context.bank.dirty)
             or context.new_layout is not None
-            or self._estimates.wants_append
+            or self._estimates.needs_append
             or self._is_marker_due()
         )
 
@@ -78,9 +78,9 @@
 
     def collect(self, maximum_bytes: int) -> list[ShardRecord]:
         """Return the records of what has changed, and forget that it has."""
-        records = self._layout_records() + self._register.collect_records()
+        records = self._layout_records() + self._worker_registry.collect_records()
         records += self._quota_records() + self._estimates.collect_records()
-        dirty = self._context.book.dirty
+        dirty = self._context.job_registry.dirty
         size = 0
         while dirty and size < maximum_bytes:
             job_id = next(iter(dirty))
@@ -99,9 +99,9 @@
         Where former holders did not record them, that is once all that they started is known, and
         no record of it waits to be written.
         """
-        book = self._context.book
-        is_known = book.starts_are_recorded or not book.is_recovering
-        return is_known and not self._has_marked and not book.dirty
+        job_registry = self._context.job_registry
+        is_known = job_registry.starts_are_recorded or not job_registry.is_recovering
+        return is_known and not self._has_marked and not job_registry.dirty
 
     def _layout_records(self) -> list[ShardRecord]:
         context = self._context
@@ -118,10 +118,10 @@
         return [ShardRecord(QUOTA_PREFIX + tenant, bank.encode(tenant)) for tenant in tenants]
 
     def _job_records(self, job_id: JobId) -> list[ShardRecord]:
-        book = self._context.book
-        job = book.jobs.get(job_id)
+        job_registry = self._context.job_registry
+        job = job_registry.jobs.get(job_id)
         if job is None:
-            cancel = book.cancelled_before.get(job_id)
+            cancel = job_registry.cancelled_before.get(job_id)
             value = b"" if cancel is None else encode_cancelled_before(cancel.tenant)
             return [ShardRecord(progress_key(job_id), value)]
         records = []
@@ -147,8 +147,8 @@
 
     def __call__(self, now: float) -> None:
         if self._job.committed_state is not self._state:
-            self._context.book.mark_committed(self._job, self._state)
-            self._context.wants_placement = True
+            self._context.job_registry.mark_committed(self._job, self._state)
+            self._context.needs_placement = True
             if self._state.is_final:
                 self._tell_end(now)
 
@@ -160,20 +160,20 @@
         self._context.emit(JobEnded(job.spec.queue.name, job.spec.tenant, state, seconds))
 
 
-def starts_are_recorded(records: list[ShardRecord], former_token: int) -> bool:
+def starts_are_recorded(records: list[ShardRecord], previous_token: int) -> bool:
     """Return whether every start that a former holder ordered is on record.
 
     It is where the last of them, whose claim had this token, marked the partition so; one of a
     version that does not record starts leaves the mark of another token.
     """
-    if former_token == 0:
+    if previous_token == 0:
         return True
     marks = [record.value for record in records if record.key == STARTS_KEY]
-    return marks == [str(former_token).encode()]
+    return marks == [str(previous_token).encode()]
 
 
 def restore_records(
-    context: ShardContext, register: WorkerRegister, records: list[ShardRecord], now: float
+    context: ShardContext, worker_registry: WorkerRegistry, records: list[ShardRecord], now: float
 ) -> None:
     """Bring a new holder to what the records say; one that cannot be read is named and kept."""
     layout = find_layout(records)
@@ -190,12 +190,12 @@
         elif record.key.startswith(QUOTA_PREFIX):
             _restore_loans(context, record)
         elif record.key.startswith(WORKER_PREFIX):
-            _restore_worker(context, register, record, now)
+            _restore_worker(context, worker_registry, record, now)
     for job_id, data in specs.items():
         _restore_job(context, job_id, data, progress.pop(job_id, None), now)
     for job_id, kept in progress.items():
-        context.book.restore_finished(job_id, kept, now)
-    context.log("state_restored", jobs=len(context.book.jobs), records=len(records))
+        context.job_registry.restore_finished(job_id, kept, now)
+    context.log("state_restored", jobs=len(context.job_registry.jobs), records=len(records))
 
 
 def _restore_loans(context: ShardContext, record: ShardRecord) -> None:
@@ -224,7 +224,7 @@
     except RecordFormatError as error:
         context.log("record_unreadable", key=spec_key(job_id), error=str(error))
         return
-    context.book.restore(spec, kept, now - _age_seconds(context, spec, now), now)
+    context.job_registry.restore(spec, kept, now - _age_seconds(context, spec, now), now)
 
 
 def _age_seconds(context: ShardContext, spec: JobSpec, now: float) -> float:
@@ -236,11 +236,11 @@
 
 
 def _restore_worker(
-    context: ShardContext, register: WorkerRegister, record: ShardRecord, now: float
+    context: ShardContext, worker_registry: WorkerRegistry, record: ShardRecord, now: float
 ) -> None:
     try:
         worker = _worker_decoder.decode(record.value)
     except msgspec.MsgspecError as error:
         context.log("record_unreadable", key=record.key, error=str(error))
         return
-    register.restore(worker, now)
+    worker_registry.restore(worker, now)
--- a/src/onyxspoke/core/shard/layout.py
+++ b/src/onyxspoke/core/shard/layout.py
@@ -56,12 +56,14 @@
 _decoder = msgspec.msgpack.Decoder(CellLayout)
 
 
-def plan_layout(workers: list[WorkerRecord], workers_a_shard: int, most_shards: int) -> CellLayout:
+def plan_layout(
+    workers: list[WorkerRecord], workers_per_shard: int, maximum_shards: int
+) -> CellLayout:
     """Return the layout of a new cell.
 
     It has as many shards as its size wants, or fewer, so that none has far less than its part.
     """
-    wanted = min(-(-len(workers) // workers_a_shard), most_shards)
+    wanted = min(-(-len(workers) // workers_per_shard), maximum_shards)
     for count in range(wanted, 1, -1):
         layout = CellLayout(count)
         sizes = Counter(layout.shard_of_worker(record) for record in workers)
--- a/src/onyxspoke/core/shard/log_records.py
+++ b/src/onyxspoke/core/shard/log_records.py
@@ -52,14 +52,14 @@
     """What became of an append.
 
     ``NOT_DONE``: refused, nothing was done.  ``UNKNOWN``: it may have been done, or may yet
-    be.  ``MOVED``: the partition ends elsewhere.  ``FENCED``: another epoch is higher.
+    be.  ``END_MOVED``: the partition ends elsewhere.  ``FENCED``: another epoch is higher.
     ``OUT_OF_SEQUENCE``: the sequence does not follow.  ``INVALID``: the store cannot take it.
     """
 
     DONE = "done"
     NOT_DONE = "not_done"
     UNKNOWN = "unknown"
-    MOVED = "moved"
+    END_MOVED = "moved"
     FENCED = "fenced"
     OUT_OF_SEQUENCE = "out_of_sequence"
     INVALID = "invalid"
@@ -75,7 +75,7 @@
     call_seconds: float = 0.0
 
 
-class NewestPage(msgspec.Struct, frozen=True, array_like=True):
+class LatestRecordsPage(msgspec.Struct, frozen=True, array_like=True):
     """The newest records behind a key, in order of keys.
 
     ``is_known`` is false where the store gave no answer.
@@ -92,7 +92,7 @@
 
     Attributes
     ----------
-    life : str
+    incarnation : str
         Names one life of one process; no two are alike.
     token : int
         Fencing token of the claim, one more than the partition's end before it.
@@ -100,7 +100,7 @@
         Counts how often this record was written.
     """
 
-    life: str
+    incarnation: str
     host: str
     port: int
     token: int
--- a/src/onyxspoke/core/shard/orders.py
+++ b/src/onyxspoke/core/shard/orders.py
@@ -14,7 +14,7 @@
     """What became of one order to a worker.
 
     ``FENCED``: the worker has seen a higher token.  ``STALE``: the run is not above one that
-    was stopped or ended there.  ``EXPIRED``: the order came after its time.  ``OTHER_LIFE``:
+    was stopped or ended there.  ``EXPIRED``: the order came after its time.  ``OTHER_INCARNATION``:
     the life that was meant is over, another one answers.  ``NO_ANSWER``: the order may have
     been carried out, or may yet be.  ``NOT_SENT``: nothing left this machine.
     """
@@ -23,16 +23,16 @@
     FENCED = "fenced"
     STALE = "stale"
     EXPIRED = "expired"
-    NO_ROOM = "no_room"
+    INSUFFICIENT_CAPACITY = "no_room"
     NO_TICKET = "no_ticket"
     INVALID = "invalid"
     UNHEALTHY = "unhealthy"
-    OTHER_LIFE = "other_life"
+    OTHER_INCARNATION = "other_life"
     NO_ANSWER = "no_answer"
     NOT_SENT = "not_sent"
 
     @property
-    def is_fence(self) -> bool:
+    def is_fenced(self) -> bool:
         """Whether the worker has seen a higher token."""
         return self is OrderOutcome.FENCED
 
@@ -43,11 +43,11 @@
         OrderOutcome.FENCED,
         OrderOutcome.STALE,
         OrderOutcome.EXPIRED,
-        OrderOutcome.NO_ROOM,
+        OrderOutcome.INSUFFICIENT_CAPACITY,
         OrderOutcome.NO_TICKET,
         OrderOutcome.INVALID,
         OrderOutcome.UNHEALTHY,
-        OrderOutcome.OTHER_LIFE,
+        OrderOutcome.OTHER_INCARNATION,
         OrderOutcome.NOT_SENT,
     }
 )
--- a/src/onyxspoke/core/shard/pace_keeper.py
+++ b/src/onyxspoke/core/shard/pace_controller.py
@@ -11,28 +11,28 @@
 REPEAT_SECONDS = 0.5
 
 
-class PaceKeeper:
+class PaceController:
     """Sends paces."""
 
     def __init__(self, context: ShardContext) -> None:
         self._context = context
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Adapt the pace of every worker on which something fills."""
-        if not self._context.may_order(now):
+        if not self._context.may_send_orders(now):
             return
         for worker in self._context.table.workers.values():
-            if worker.contact is WorkerContact.SETTLED and worker.has_fillers():
+            if worker.contact is WorkerContact.RECONCILED and worker.needs_pacing():
                 self._keep_worker(worker, now)
 
     def _keep_worker(self, worker: Worker, now: float) -> None:
-        worker.pace.adapt(worker.serving_pressure(), now)
+        worker.pace.adapt(worker.worst_latency_ratio(), now)
         percent = worker.pace.percent
-        for run in worker.filling_runs():
+        for run in worker.filler_runs():
             is_due = now - run.pace_sent_at >= REPEAT_SECONDS
-            if run.pace_percent != percent and (is_due or run.pace_wanted != percent):
+            if run.pace_percent != percent and (is_due or run.ordered_pace_percent != percent):
                 self._send(worker, run.key, percent, now)
-                run.pace_wanted = percent
+                run.ordered_pace_percent = percent
                 run.pace_sent_at = now
 
     def _send(self, worker: Worker, key: RunKey, percent: int, now: float) -> None:
@@ -40,7 +40,7 @@
         context.log("pace", worker=worker.worker_id, job=key.task.job_id, percent=percent)
         context.emit(SendPace(address_of(worker), context.token, key, percent))
 
-    def handle_result(self, worker: Worker, key: RunKey, percent: int, is_done: bool) -> None:
+    def handle_pace_result(self, worker: Worker, key: RunKey, percent: int, is_done: bool) -> None:
         """A worker answered a change of pace, or did not."""
         run = worker.runs.get(key)
         if run is not None and is_done:
--- a/src/onyxspoke/core/shard/quota_desk.py
+++ b/src/onyxspoke/core/shard/quota_coordinator.py
@@ -4,8 +4,8 @@
 
 from onyxspoke.core.jobs.amounts import minus, plus, times
 from onyxspoke.core.jobs.model import Needs
-from onyxspoke.core.placement.quota_doubts import find_doubts
-from onyxspoke.core.shard.actions import AskQuota, ReplyToCall
+from onyxspoke.core.placement.unconfirmed_usage import find_doubts
+from onyxspoke.core.shard.actions import ReplyToCall, RequestQuota
 from onyxspoke.core.shard.calls import CallReply, QuotaCall, ReplyCode
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.tenants.bank import QuotaRequest, home_shard
@@ -14,7 +14,7 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 
-class QuotaDesk:
+class QuotaCoordinator:
     """Keeps quotas over all shards of the cell.
 
     A tenant's quota is one for the whole cell.  Its home shard has all of it but what it lent to
@@ -31,9 +31,9 @@
         """Return what tenants may start, for one pass of placement, and see to loans."""
         doubts = self._doubts()
         self._keep_loans(doubts, now)
-        return QuotaPass(self.part_of, self._context.ledger, doubts)
+        return QuotaPass(self.allocation_of, self._context.ledger, doubts)
 
-    def part_of(self, tenant: TenantName) -> Needs:
+    def allocation_of(self, tenant: TenantName) -> Needs:
         """Return what a tenant may have running in this shard."""
         quota = self._quota_of(tenant)
         part = quota
@@ -63,7 +63,7 @@
             request = self._borrower.keep(tenant, quota, used, want, now)
             if request is not None:
                 self._log("quota_asked", request, request.amount)
-                context.emit(AskQuota(home, request))
+                context.emit(RequestQuota(home, request))
 
     def handle_call(self, call_id: int, call: QuotaCall, now: float) -> None:
         """Lend a part of a quota to another shard, once that is on record."""
@@ -88,7 +88,7 @@
         if reply.code is not ReplyCode.OK or reply.granted is None:
             self._borrower.handle_unanswered(request, now)
         elif self._borrower.handle_granted(request, reply.granted, now):
-            self._context.wants_placement = True
+            self._context.needs_placement = True
 
     def _quota_of(self, tenant: TenantName) -> Needs:
         policy = self._context.policy.tenants.get(tenant)
@@ -99,14 +99,14 @@
 
     def _doubts(self) -> dict[TenantName, Needs]:
         context = self._context
-        if not context.policy.tenants or not context.book.is_recovering:
+        if not context.policy.tenants or not context.job_registry.is_recovering:
             return {}
-        return find_doubts(context.book.tasks_in_doubt(), context.table.unsettled())
+        return find_doubts(context.job_registry.tasks_in_doubt(), context.table.unreconciled())
 
     def _wanted(self) -> dict[TenantName, Needs]:
         """Return what each tenant's waiting tasks need."""
         wanted: dict[TenantName, Needs] = {}
-        for step in self._context.book.startable_steps():
+        for step in self._context.job_registry.startable_steps():
             tenant = step.job.spec.tenant
             needs = times(step.needs, len(step.waiting))
             wanted[tenant] = plus(wanted.get(tenant, Needs()), needs)
--- a/src/onyxspoke/core/shard/run_keeper.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -7,11 +7,11 @@
 from onyxspoke.core.jobs.model import RunKey, StepKey
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
 from onyxspoke.core.jobs.states import JobState, RunEnd, RunState, TaskState
-from onyxspoke.core.placement.blame import EndOfLife, blame_runs, has_crashed
-from onyxspoke.core.placement.room_seeker import Eviction
-from onyxspoke.core.placement.runs import GangRun, Run, is_stalled, run_name
+from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
+from onyxspoke.core.placement.capacity_seeker import PreemptionRequest
+from onyxspoke.core.placement.runs import GangRun, Run, is_stalled, task_log_name
 from onyxspoke.core.placement.workers import Worker, WorkerContact
-from onyxspoke.core.shard.actions import JobBegun, SendStop
+from onyxspoke.core.shard.actions import JobStarted, SendStop
 from onyxspoke.core.shard.context import ShardContext, address_of
 from onyxspoke.core.shard.orders import EndReport, OrderOutcome, OrderResult
 
@@ -20,7 +20,7 @@
 _MILLISECONDS = 1_000.0
 
 
-class RunKeeper:
+class RunManager:
     """Keeps every run of the shard.
 
     Parameters
@@ -49,13 +49,13 @@
             self.log_run("start_withdrawn", run, reason=reason)
             self.end_run(run, RunEnd.NOT_STARTED, now)
             return
-        still_ms = int((now - run.moved_at) * _MILLISECONDS)
+        still_ms = int((now - run.progressed_at) * _MILLISECONDS)
         self.log_run("run_stop", run, reason=reason, percent=run.percent, still_ms=still_ms)
         run.move_to(RunState.STOPPING)
         self._stopping[run.key] = run
         self._send_stop(run, now)
 
-    def preempt(self, eviction: Eviction, now: float) -> None:
+    def preempt(self, eviction: PreemptionRequest, now: float) -> None:
         """Order the end of runs that give way to a more urgent step."""
         for run in eviction.preemption.runs:
             self.log_run("run_preempted", run, by=eviction.step.key.name)
@@ -64,18 +64,20 @@
     def _send_stop(self, run: Run, now: float) -> None:
         run.stop_sent_at = now
         context = self._context
-        if context.may_order(now):
+        if context.may_send_orders(now):
             context.emit(SendStop(address_of(run.worker), context.token, run.key))
 
     def stop_stray(self, worker: Worker, key: RunKey, now: float) -> None:
         """Order the end of a run that stands for no task of this shard."""
         context = self._context
-        sent_at = worker.strays.get(key)
+        sent_at = worker.orphan_runs.get(key)
         if sent_at is not None and now - sent_at < STOP_RETRY_SECONDS:
             return
-        worker.strays[key] = now
-        if context.may_order(now):
-            context.log("stray_stop", worker=worker.worker_id, task=run_name(key), run=key.number)
+        worker.orphan_runs[key] = now
+        if context.may_send_orders(now):
+            context.log(
+                "stray_stop", worker=worker.worker_id, task=task_log_name(key), run=key.number
+            )
             context.emit(SendStop(address_of(worker), context.token, key))
 
     def handle_stop_result(
@@ -83,16 +85,16 @@
     ) -> None:
         """A worker answered an order to stop, or did not."""
         is_done = result.outcome in (OrderOutcome.DONE, OrderOutcome.STALE)
-        if is_done and worker.open_starts.pop(key, None) is not None:
-            self._context.wants_placement = True
+        if is_done and worker.unresolved_starts.pop(key, None) is not None:
+            self._context.needs_placement = True
         run = worker.runs.get(key)
         if run is None:
             return
         if is_done:
             run.stop_answered_at = now
-            worker.wants_look = worker.wants_look or not run.confirmed_at
+            worker.poll_requested = worker.poll_requested or not run.confirmed_at
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Send unanswered stops again; stop runs that stand still or must move."""
         self._stop_stalled(now)
         for run in list(self._stopping.values()):
@@ -105,13 +107,13 @@
     def _settle_open_starts(self, worker: Worker, now: float) -> None:
         """Stop, before they begin, runs that were ordered to the worker's former life."""
         context = self._context
-        for key, sent_at in worker.open_starts.items():
-            if now - sent_at >= STOP_RETRY_SECONDS and context.may_order(now):
-                worker.open_starts[key] = now
+        for key, sent_at in worker.unresolved_starts.items():
+            if now - sent_at >= STOP_RETRY_SECONDS and context.may_send_orders(now):
+                worker.unresolved_starts[key] = now
                 context.log(
                     "open_start_stop",
                     worker=worker.worker_id,
-                    task=run_name(key),
+                    task=task_log_name(key),
                     run=key.number,
                 )
                 context.emit(SendStop(address_of(worker), context.token, key))
@@ -119,7 +121,7 @@
     def _stop_stalled(self, now: float) -> None:
         """Stop runs that make no progress, so that they go on elsewhere."""
         for worker in self._context.table.workers.values():
-            if worker.contact is not WorkerContact.SETTLED:
+            if worker.contact is not WorkerContact.RECONCILED:
                 continue
             for run in list(worker.runs.values()):
                 if run.state is RunState.RUNNING and is_stalled(run, worker.answered_at):
@@ -127,7 +129,7 @@
                     worker.health.avoid(now)
                     self.stop(run, now, "stalled")
 
-    def stop_job_runs(self, steps: list[StepProgress], now: float, reason: str) -> None:
+    def stop_runs_of(self, steps: list[StepProgress], now: float, reason: str) -> None:
         """Order the end of everything that runs for these steps."""
         for step in steps:
             gang = self.gangs.get(step.key)
@@ -136,24 +138,28 @@
             for run in runs:
                 if run.state not in (RunState.ENDED, RunState.STOPPING):
                     self.stop(run, now, reason)
-            self._context.desk.forget(step.key)
+            self._context.advice_dispatcher.forget(step.key)
 
     def confirm(self, run: Run, now: float) -> None:
         """A worker said that it has a run."""
         run.move_to(RunState.RUNNING)
         run.confirmed_at = now
-        run.moved_at = now
+        run.progressed_at = now
         self._note_begun(run, now)
 
     def _note_begun(self, run: Run, now: float) -> None:
         job = run.task.step.job
         if not job.begun:
             seconds = now - job.accepted_at
-            self._context.emit(JobBegun(job.spec.queue.name, job.spec.tenant, seconds))
-        self._context.book.task_begun(run.task, now)
+            self._context.emit(JobStarted(job.spec.queue.name, job.spec.tenant, seconds))
+        self._context.job_registry.task_begun(run.task, now)
 
     def abandon_all(
-        self, worker: Worker, sign: EndOfLife, now: float, next_life: Worker | None = None
+        self,
+        worker: Worker,
+        sign: IncarnationEndReason,
+        now: float,
+        next_life: Worker | None = None,
     ) -> None:
         """A worker's life, or its lease, is over; so is everything that it ran.
 
@@ -164,7 +170,7 @@
         """
         is_crash = has_crashed(worker, sign)
         blamed = blame_runs(worker, now) if is_crash else []
-        doubted = self._context.book.tasks_doubted_on(worker.worker_id) if is_crash else []
+        doubted = self._context.job_registry.tasks_doubted_on(worker.worker_id) if is_crash else []
         if next_life is not None:
             self.hand_over_starts(worker, next_life, now)
         for run in list(worker.runs.values()):
@@ -188,7 +194,7 @@
             if run.state is not RunState.PLANNED and not run.confirmed_at:
                 self._hand_over(run, next_life, now)
         for key in next_life.runs:
-            next_life.open_starts.pop(key, None)
+            next_life.unresolved_starts.pop(key, None)
         self._settle_open_starts(next_life, now)
 
     def _hand_over(self, run: Run, next_life: Worker, now: float) -> None:
@@ -204,7 +210,7 @@
 
     def _note_crash(self, task: TaskProgress, worker: Worker, blame: Blame, now: float) -> None:
         """Count a crash under a task before it can be started again."""
-        is_given_up = self._context.book.task_crashed(task, blame, now)
+        is_given_up = self._context.job_registry.task_crashed(task, blame, now)
         tally = task.crashes
         fields = tally._asdict()
         name = f"{task.step.key.name}.{task.index}"
@@ -227,16 +233,16 @@
         worker = run.worker
         worker.remove(run)
         self._context.ledger.remove(run.task.step.job.spec.tenant, run.needs)
-        self._context.table.note_gain(worker)
+        self._context.table.note_capacity_gain(worker)
         worker.note_ended(run.key, end)
         task = run.task
         if task.run is run:
             task.run = None
             task.placed_on = ""
-        self._context.wants_placement = True
+        self._context.needs_placement = True
         if end is RunEnd.FAILED:
             task.failed_on = worker.worker_id
-            self._context.book.task_failed(task, run.number, now)
+            self._context.job_registry.task_failed(task, run.number, now)
             if worker.health.note_failure(task.step.job.job_id, now):
                 self._context.log("worker_avoided", worker=worker.worker_id, reason="failures")
         elif end is RunEnd.DONE:
@@ -246,7 +252,7 @@
         elif end is RunEnd.DONE:
             self.complete(task, now)
         elif task.state is TaskState.ACTIVE:
-            self._context.book.task_waits(task)
+            self._context.job_registry.task_waits(task)
         self.stop_if_final(task.step, now)
 
     def _end_gang_member(self, run: Run, gang: GangRun, end: RunEnd, now: float) -> None:
@@ -263,32 +269,32 @@
             self.gangs.pop(step.key, None)
             for task in step.tasks:
                 if task.state is TaskState.ACTIVE:
-                    self._context.book.task_waits(task)
+                    self._context.job_registry.task_waits(task)
 
     def complete(self, task: TaskProgress, now: float) -> None:
         """Note that a task ended well; of a gang, one such end stands for all."""
         step = task.step
         if step.spec.long_running:
-            self._context.book.task_waits(task)
+            self._context.job_registry.task_waits(task)
             return
         tasks = step.tasks if step.spec.gang else [task]
         for ended in tasks:
             if ended.state is not TaskState.DONE:
-                self._context.book.task_done(ended, now)
+                self._context.job_registry.task_done(ended, now)
         if step.is_done:
-            self._context.desk.forget(step.key)
-        self._context.wants_placement = True
+            self._context.advice_dispatcher.forget(step.key)
+        self._context.needs_placement = True
 
     def stop_if_final(self, step: StepProgress, now: float) -> None:
         """Order the end of everything that runs for a job that failed or was cancelled."""
         job = step.job
         if job.state in (JobState.FAILED, JobState.CANCELLED):
-            self.stop_job_runs(job.steps(), now, f"job_{job.state.name.lower()}")
+            self.stop_runs_of(job.steps(), now, f"job_{job.state.name.lower()}")
 
     def note_checkpoint(self, task: TaskProgress, checkpoint: str) -> None:
         """Remember from where a task may resume, if a worker told."""
         if checkpoint:
-            self._context.book.note_checkpoint(checkpoint_holder(task), checkpoint)
+            self._context.job_registry.note_checkpoint(checkpoint_holder(task), checkpoint)
 
     def repair_gangs(self, now: float, keys: set[StepKey] | None = None) -> None:
         """Once all runs of them are known, end gangs of which members are missing.
@@ -314,7 +320,7 @@
         self._context.log(
             event,
             worker=run.worker.worker_id,
-            task=run_name(run.key),
+            task=task_log_name(run.key),
             run=run.number,
             state=run.state.name.lower(),
             **fields,
--- a/src/onyxspoke/core/shard/run_reports.py
+++ b/src/onyxspoke/core/shard/run_reconciler.py
@@ -5,25 +5,25 @@
 from onyxspoke.core.jobs.model import RunKey
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
 from onyxspoke.core.jobs.states import RunEnd, RunState, TaskState
-from onyxspoke.core.placement.runs import GangRun, Run, run_name
+from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.shard.orders import EndReport, HoldResult, RunningReport
-from onyxspoke.core.shard.run_keeper import RunKeeper
+from onyxspoke.core.shard.run_manager import RunManager
 
 
-class RunReports:
+class RunReconciler:
     """Takes in what workers list.
 
     Parameters
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunKeeper
+    runs : RunManager
         Keeps the runs.
     """
 
-    def __init__(self, context: ShardContext, runs: RunKeeper) -> None:
+    def __init__(self, context: ShardContext, runs: RunManager) -> None:
         self._context = context
         self._runs = runs
 
@@ -42,9 +42,9 @@
         for running in result.running:
             listed.add(running.run)
             self._take_running(worker, running, now)
-        for key in [key for key in worker.strays if key not in listed]:
-            del worker.strays[key]
-            self._context.wants_placement = True
+        for key in [key for key in worker.orphan_runs if key not in listed]:
+            del worker.orphan_runs[key]
+            self._context.needs_placement = True
         if result.is_whole:
             self._find_missing(worker, listed, result.clock_ms, sent_at, now)
 
@@ -66,7 +66,7 @@
     def _take_end(self, worker: Worker, report: EndReport, now: float) -> None:
         run = worker.runs.get(report.run)
         if run is not None:
-            self._context.book.task_begun(run.task, now)
+            self._context.job_registry.task_begun(run.task, now)
             self._runs.note_checkpoint(run.task, report.checkpoint)
             self._runs.log_end(run, report)
             self._context.durations.note_end(run, report.end, now)
@@ -76,17 +76,17 @@
 
     def _take_unknown_end(self, worker: Worker, report: EndReport, now: float) -> None:
         """Take in the end of a run that a former holder started."""
-        task = self._context.book.find_task(report.run.task)
+        task = self._context.job_registry.find_task(report.run.task)
         if task is None or task.state is TaskState.DONE or task.step.job.state.is_final:
             return
         step = task.step
         step.last_number = max(step.last_number, report.run.number)
-        self._context.book.task_begun(task, now)
+        self._context.job_registry.task_begun(task, now)
         self._runs.note_checkpoint(task, report.checkpoint)
         self._context.log(
             "end_recovered",
             worker=worker.worker_id,
-            task=run_name(report.run),
+            task=task_log_name(report.run),
             run=report.run.number,
             how=report.end.value,
         )
@@ -95,9 +95,9 @@
             self._runs.complete(task, now)
         elif report.end is RunEnd.FAILED:
             task.failed_on = worker.worker_id
-            self._context.book.task_failed(task, report.run.number, now)
+            self._context.job_registry.task_failed(task, report.run.number, now)
             self._runs.stop_if_final(step, now)
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _take_running(self, worker: Worker, report: RunningReport, now: float) -> None:
         run = worker.runs.get(report.run)
@@ -108,7 +108,7 @@
             self._runs.confirm(run, now)
         if report.percent != run.percent:
             run.percent = report.percent
-            run.moved_at = now
+            run.progressed_at = now
             self._context.durations.note_progress(run, now)
         run.listed_at = now
         run.usage = report.usage
@@ -122,7 +122,7 @@
             self._runs.stop_stray(worker, report.run, now)
         if ended is not None:
             return
-        task = self._context.book.find_task(report.run.task)
+        task = self._context.job_registry.find_task(report.run.task)
         may_adopt = (
             task is not None
             and task.run is None
@@ -148,10 +148,10 @@
             checkpoint_holder(task).checkpoint = report.checkpoint
         if task.placed_on != worker.worker_id:
             # A later holder is to know it, too.
-            self._context.book.dirty[step.job.job_id] = None
+            self._context.job_registry.dirty[step.job.job_id] = None
         self._runs.hold_room(run)
-        self._context.book.task_started(task)
-        self._context.book.task_begun(task, now)
+        self._context.job_registry.task_started(task)
+        self._context.job_registry.task_begun(task, now)
         self._runs.log_run("run_adopted", run)
         if gang is not None and gang.is_broken:
             self._runs.stop(run, now, "gang_broken")
@@ -175,7 +175,7 @@
                 if run.confirmed_at < sent_at:
                     self._runs.log_run("run_missing", run)
                     self._runs.end_run(run, RunEnd.ABANDONED, now)
-            elif clock_ms > run.until_ms or 0 < run.stop_answered_at < sent_at:
+            elif clock_ms > run.start_valid_until_ms or 0 < run.stop_answered_at < sent_at:
                 self._runs.log_run("start_settled", run, started=0)
                 self._runs.end_run(run, RunEnd.NOT_STARTED, now)
             elif run.state is RunState.UNCERTAIN:
@@ -183,8 +183,8 @@
 
     def settle_worker(self, worker: Worker, now: float) -> None:
         """What a worker runs is known: draw the consequences for what it might have run."""
-        steps = self._context.book.settle_worker(worker.worker_id, now)
+        steps = self._context.job_registry.settle_worker(worker.worker_id, now)
         if steps:
-            self._context.wants_placement = True
+            self._context.needs_placement = True
         keys = {step.key for step in steps if not step.in_doubt}
         self._runs.repair_gangs(now, keys)
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -5,15 +5,15 @@
 from onyxspoke.core.jobs.model import RunKey
 from onyxspoke.core.jobs.progress import StepProgress, checkpoint_of
 from onyxspoke.core.jobs.states import RunEnd, RunState
-from onyxspoke.core.placement.isolation import keep_free_for
-from onyxspoke.core.placement.runs import GangRun, Run, run_name
+from onyxspoke.core.placement.isolation import isolate_worker_of
+from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
 from onyxspoke.core.placement.spreading import Placement, StepPlacement
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 from onyxspoke.core.shard.actions import SendStart
 from onyxspoke.core.shard.context import ShardContext, address_of
 from onyxspoke.core.shard.orders import CERTAINLY_NOT_DONE, OrderOutcome, OrderResult
-from onyxspoke.core.shard.run_keeper import RunKeeper
+from onyxspoke.core.shard.run_manager import RunManager
 
 #: Run numbers of one holder begin above those of every earlier one.
 NUMBERS_A_TOKEN = 4_096
@@ -23,10 +23,10 @@
 _NOT_OFFERED_AFTER = frozenset(
     {
         OrderOutcome.UNHEALTHY,
-        OrderOutcome.NO_ROOM,
+        OrderOutcome.INSUFFICIENT_CAPACITY,
         OrderOutcome.INVALID,
         OrderOutcome.NOT_SENT,
-        OrderOutcome.OTHER_LIFE,
+        OrderOutcome.OTHER_INCARNATION,
     }
 )
 _MILLISECONDS = 1_000.0
@@ -39,11 +39,11 @@
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunKeeper
+    runs : RunManager
         Keeps the runs from then on.
     """
 
-    def __init__(self, context: ShardContext, runs: RunKeeper) -> None:
+    def __init__(self, context: ShardContext, runs: RunManager) -> None:
         self._context = context
         self._runs = runs
 
@@ -63,7 +63,7 @@
         for placement in plan.placements:
             number = gang.number if gang is not None else self._next_number(step)
             runs.append(self._plan_one(placement, number, gang, now))
-        self._context.book.dirty[step.job.job_id] = None
+        self._context.job_registry.dirty[step.job.job_id] = None
         self._context.commit.after_commit(_OrderStarts(self, runs))
 
     def _plan_one(self, placement: Placement, number: int, gang: GangRun | None, now: float) -> Run:
@@ -73,8 +73,8 @@
         run.is_resumed = bool(checkpoint_of(task))
         task.run = run
         self._runs.hold_room(run)
-        self._context.book.task_started(task)
-        keep_free_for(run, now)
+        self._context.job_registry.task_started(task)
+        isolate_worker_of(run, now)
         return run
 
     def order_starts(self, runs: list[Run], now: float) -> None:
@@ -96,12 +96,12 @@
         worker = run.worker
         return (
             run.state is RunState.PLANNED
-            and context.may_order(now)
-            and worker.contact is WorkerContact.SETTLED
+            and context.may_send_orders(now)
+            and worker.contact is WorkerContact.RECONCILED
             and worker.listing is WorkerListing.READY
             # Its room may have shrunk while the start's record was under way.
-            and not worker.is_over_room
-            and not worker.doubted_at
+            and not worker.is_over_capacity
+            and not worker.unanswered_order_at
             and self._ticket(run, now) is not None
         )
 
@@ -110,22 +110,24 @@
         step = run.task.step
         if self._context.policy.queue_of(step.job.spec).advice is None:
             return ""
-        return self._context.desk.advice_on(step).valid_ticket(run.worker.worker_id, now)
+        return self._context.advice_dispatcher.advice_for(step).valid_ticket(
+            run.worker.worker_id, now
+        )
 
     def _order_start(self, run: Run, now: float) -> None:
         context = self._context
         task, worker = run.task, run.worker
         run.move_to(RunState.STARTING)
-        run.ordered_at = run.sent_at = run.moved_at = now
-        run.until_ms = worker.clock.estimate_ms(now) + context.options.start_validity_ms
-        worker.extend_lease(run.until_ms)
-        context.table.open_starts.handle_ordered(worker.worker_id, run.key, now)
-        keep_free_for(run, now)
+        run.ordered_at = run.sent_at = run.progressed_at = now
+        run.start_valid_until_ms = worker.clock.estimate_ms(now) + context.options.start_validity_ms
+        worker.extend_lease(run.start_valid_until_ms)
+        context.table.unresolved_starts.add_start(worker.worker_id, run.key, now)
+        isolate_worker_of(run, now)
         job = task.step.job
         context.log(
             "run_start",
             worker=worker.worker_id,
-            task=run_name(run.key),
+            task=task_log_name(run.key),
             run=run.number,
             waited_ms=int((now - task.step.ready_at) * _MILLISECONDS),
             quota_ms=int(task.step.over_quota_seconds * _MILLISECONDS),
@@ -139,7 +141,7 @@
                 token=context.token,
                 run=run.key,
                 payload=job.spec.payload,
-                until_ms=run.until_ms,
+                until_ms=run.start_valid_until_ms,
                 checkpoint=checkpoint_of(task),
                 ticket=self._ticket(run, now) or "",
             )
@@ -152,7 +154,7 @@
         run = worker.runs.get(key)
         outcome = result.outcome
         if outcome is OrderOutcome.DONE:
-            worker.note_heard(now)
+            worker.note_answer(now)
             if run is not None and run.state in (RunState.STARTING, RunState.UNCERTAIN):
                 self._runs.confirm(run, now)
             return
@@ -162,8 +164,8 @@
             if run.state is RunState.STARTING:
                 run.move_to(RunState.UNCERTAIN)
             # Nothing more goes there until it has answered a look.
-            worker.wants_look = True
-            worker.doubted_at = now
+            worker.poll_requested = True
+            worker.unanswered_order_at = now
             self._runs.log_run("start_unanswered", run)
             return
         if outcome in CERTAINLY_NOT_DONE:
@@ -175,9 +177,11 @@
         self, worker: Worker, run: Run, outcome: OrderOutcome, now: float
     ) -> None:
         if outcome is OrderOutcome.NO_TICKET:
-            self._context.desk.drop_ticket(run.task.step.key, worker.worker_id)
+            self._context.advice_dispatcher.drop_ticket(run.task.step.key, worker.worker_id)
         elif outcome in _NOT_OFFERED_AFTER:
-            worker.wants_look = worker.wants_look or outcome is OrderOutcome.OTHER_LIFE
+            worker.poll_requested = (
+                worker.poll_requested or outcome is OrderOutcome.OTHER_INCARNATION
+            )
             worker.retry_at = now + REFUSED_SECONDS
 
     def _next_number(self, step: StepProgress) -> int:
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -15,20 +15,20 @@
 from onyxspoke.core.placement.worker_record import UnusableEntry, WorkerRecord
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.shard.actions import (
-    AdviceAsked,
-    AskAdvice,
+    AdviceRequested,
+    RequestAdvice,
     SendAppend,
     SendPace,
     ShardAction,
     StepDownReason,
     WorkerAddress,
 )
-from onyxspoke.core.shard.admission_desk import AdmissionDesk
-from onyxspoke.core.shard.call_desk import CallDesk
+from onyxspoke.core.shard.admission_controller import AdmissionController
+from onyxspoke.core.shard.call_handler import CallHandler
 from onyxspoke.core.shard.calls import Call, CallReply
 from onyxspoke.core.shard.commit import MINIMUM_INTERVAL_SECONDS, CommitQueue
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
-from onyxspoke.core.shard.estimates_keeper import EstimatesKeeper
+from onyxspoke.core.shard.estimates_manager import EstimatesManager
 from onyxspoke.core.shard.evacuation import Evacuation
 from onyxspoke.core.shard.journal import (
     RecordCollector,
@@ -49,13 +49,13 @@
     OrderOutcome,
     OrderResult,
 )
-from onyxspoke.core.shard.pace_keeper import PaceKeeper
-from onyxspoke.core.shard.quota_desk import QuotaDesk
-from onyxspoke.core.shard.run_keeper import RunKeeper
-from onyxspoke.core.shard.run_reports import RunReports
+from onyxspoke.core.shard.pace_controller import PaceController
+from onyxspoke.core.shard.quota_coordinator import QuotaCoordinator
+from onyxspoke.core.shard.run_manager import RunManager
+from onyxspoke.core.shard.run_reconciler import RunReconciler
 from onyxspoke.core.shard.run_starter import RunStarter
-from onyxspoke.core.shard.worker_keeper import WorkerKeeper
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.worker_manager import WorkerManager
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 from onyxspoke.core.tenants.bank import QuotaRequest
 
 #: The loop stood still for longer: the process may have been paused.
@@ -84,7 +84,7 @@
         Number of the next append of our epoch.
     claimed_at : float
         When the claim was sent.
-    store_seconds : float
+    claim_call_seconds : float
         How long the store took to answer the claim.
     options : ShardOptions
         Bounds and timings.
@@ -96,41 +96,43 @@
         claim: ClaimRecord,
         next_sequence: int,
         claimed_at: float,
-        store_seconds: float,
+        claim_call_seconds: float,
         options: ShardOptions,
     ) -> None:
         self.context = ShardContext(options, claim.token, shard)
         self._options = options
-        self.runs = RunKeeper(self.context)
+        self.runs = RunManager(self.context)
         self._starter = RunStarter(self.context, self.runs)
-        reports = RunReports(self.context, self.runs)
-        self.register = WorkerRegister(
-            self.context, former_orders_until=claimed_at + options.proof_seconds
+        reports = RunReconciler(self.context, self.runs)
+        self.worker_registry = WorkerRegistry(
+            self.context, previous_orders_until=claimed_at + options.proof_seconds
         )
-        self.workers = WorkerKeeper(self.context, self.runs, reports, self.register)
-        self.quotas = QuotaDesk(self.context)
-        self._admission = AdmissionDesk(self.context, self.register)
-        self._calls = CallDesk(self.context, self.runs, self.quotas, self._admission)
-        self._paces = PaceKeeper(self.context)
+        self.workers = WorkerManager(self.context, self.runs, reports, self.worker_registry)
+        self.quotas = QuotaCoordinator(self.context)
+        self._admission = AdmissionController(self.context, self.worker_registry)
+        self._calls = CallHandler(self.context, self.runs, self.quotas, self._admission)
+        self._paces = PaceController(self.context)
         self._evacuation = Evacuation(self.context, self.runs)
-        self._estimates = EstimatesKeeper(self.context)
-        self._collector = RecordCollector(self.context, self.register, self._estimates, claim)
+        self._estimates = EstimatesManager(self.context)
+        self._collector = RecordCollector(
+            self.context, self.worker_registry, self._estimates, claim
+        )
         self.context.commit = CommitQueue(
             shard=shard,
             epoch=claim.token,
             next_sequence=next_sequence,
-            proof_at=claimed_at,
+            ownership_proven_at=claimed_at,
             collect=self._collector.collect,
             renew=self._collector.renew,
             is_dirty=self._collector.is_dirty,
-            latest_seconds=store_seconds,
+            latest_seconds=claim_call_seconds,
         )
         stop_seconds = options.stop_grace_ms / _MILLISECONDS
         self._placer = Placer(
             self.context.table,
-            self.context.desk,
+            self.context.advice_dispatcher,
             stop_seconds,
-            minds_speed=options.load.unlike_workers,
+            is_speed_aware=options.load.unlike_workers,
         )
         self._last_active_at = claimed_at
         self._is_recovered = False
@@ -142,53 +144,53 @@
     # Recovery
 
     def recover(
-        self, records: list[ShardRecord], former_token: int, now: float, wall_ms: float
+        self, records: list[ShardRecord], previous_token: int, now: float, wall_ms: float
     ) -> list[ShardAction]:
         """Take in everything that the store holds of the shard.
 
         Parameters
         ----------
-        former_token : int
+        previous_token : int
             Of the claim that ours replaced; 0 where there was none.
         """
-        self.context.book.starts_are_recorded = starts_are_recorded(records, former_token)
+        self.context.job_registry.starts_are_recorded = starts_are_recorded(records, previous_token)
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
-        self.context.book.is_recovering = True
-        restore_records(self.context, self.register, records, now)
-        for worker_id in self.context.book.doubted_workers():
+        self.context.job_registry.is_recovering = True
+        restore_records(self.context, self.worker_registry, records, now)
+        for worker_id in self.context.job_registry.doubted_workers():
             if worker_id not in self.context.table.workers:
                 # Its record was dropped when it was certain that it ran nothing more.
-                self.context.book.settle_worker(worker_id, now)
+                self.context.job_registry.settle_worker(worker_id, now)
         self._is_recovered = True
         self._last_active_at = now
         return self.flush(now)
 
-    def former_holder_is_dead(self, since: float) -> None:
+    def handle_previous_holder_dead(self, since: float) -> None:
         """The former holder's process is known to have ended by then."""
-        self.register.handle_advice_of_death(since)
+        self.worker_registry.shorten_previous_leases(since)
 
     def set_commit_interval(self, seconds: float) -> None:
         """Take the pause between two appends that the store's rates ask for."""
         self.context.commit.interval_seconds = max(seconds, MINIMUM_INTERVAL_SECONDS)
 
-    def stimulus_layout(self, layout: CellLayout) -> None:
+    def on_layout(self, layout: CellLayout) -> None:
         """Write the layout of a new cell; it is told once the store has it."""
         self.context.new_layout = layout
 
     # The platform
 
-    def stimulus_policy(self, policy: PolicySet, now: float) -> None:
+    def on_policy(self, policy: PolicySet, now: float) -> None:
         """The operator's configuration changed."""
         self.context.policy = policy
         self.context.shares.keep_only(set(policy.tenants))
         self._placer.reconsider_all()
-        self.context.wants_placement = True
+        self.context.needs_placement = True
 
-    def stimulus_shard_count(self, count: int) -> None:
+    def on_shard_count(self, count: int) -> None:
         """The cell has so many shards, which share every tenant's quota and weight."""
         self.context.shard_count = count
 
-    def stimulus_workers_listed(
+    def on_workers_listed(
         self,
         records: list[WorkerRecord],
         unusable: list[UnusableEntry],
@@ -196,47 +198,47 @@
         now: float,
     ) -> None:
         """The directory lists these workers, and entries that name none."""
-        self.register.handle_listed(records, unusable, is_whole, now)
+        self.worker_registry.handle_listed(records, unusable, is_whole, now)
 
-    def stimulus_worker_unlisted(self, worker_id: WorkerId, now: float) -> None:
+    def on_worker_unlisted(self, worker_id: WorkerId, now: float) -> None:
         """The directory lists a worker no longer."""
-        self.register.handle_unlisted(worker_id, now)
+        self.worker_registry.handle_unlisted(worker_id, now)
 
-    def stimulus_advisors(self, names: list[str], now: float) -> None:
+    def on_advisors(self, names: list[str], now: float) -> None:
         """These entries can carry calls for advice."""
-        self.context.desk.set_advisors(names, now)
-        self.context.wants_placement |= self.context.desk.has_moved_calls
+        self.context.advice_dispatcher.set_advice_entries(names, now)
+        self.context.needs_placement |= self.context.advice_dispatcher.has_requeued_calls
 
-    def stimulus_store_unreachable(self, until: float) -> None:
+    def on_store_unreachable(self, until: float) -> None:
         """No node reaches the store, so that nobody can claim the shard until then."""
         self.context.unclaimable_until = until
 
     # Answers
 
-    def stimulus_hold_result(
+    def on_hold_result(
         self, address: WorkerAddress, number: int, result: HoldResult, now: float
     ) -> None:
         """A worker answered a hold, or did not."""
         worker = self._find_worker(address)
-        if worker is not None and not self.context.is_over:
+        if worker is not None and not self.context.has_stepped_down:
             self._note_active(now)
             self.workers.handle_hold_result(worker, number, result, now)
 
-    def stimulus_start_result(
+    def on_start_result(
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
         """A worker answered an order to start, or did not."""
         if self._check_fence(result):
             self._note_active(now)
             if result.outcome is not OrderOutcome.NO_ANSWER:
-                self.context.table.open_starts.handle_answered(address.worker_id, run)
+                self.context.table.unresolved_starts.resolve_start(address.worker_id, run)
             worker = self._find_worker(address)
             if worker is not None:
                 self._starter.handle_start_result(worker, run, result, now)
                 if result.outcome is OrderOutcome.NO_ANSWER:
                     self.workers.note_answer_lost(now)
 
-    def stimulus_stop_result(
+    def on_stop_result(
         self, address: WorkerAddress, run: RunKey, result: OrderResult, now: float
     ) -> None:
         """A worker answered an order to stop, or did not."""
@@ -246,30 +248,30 @@
             if worker is not None:
                 self.runs.handle_stop_result(worker, run, result, now)
 
-    def stimulus_pace_result(self, order: SendPace, result: OrderResult, now: float) -> None:
+    def on_pace_result(self, order: SendPace, result: OrderResult, now: float) -> None:
         """A worker answered a change of pace, or did not."""
         if self._check_fence(result):
             worker = self._find_worker(order.address)
             if worker is not None:
                 is_done = result.outcome is OrderOutcome.DONE
-                self._paces.handle_result(worker, order.run, order.percent, is_done)
+                self._paces.handle_pace_result(worker, order.run, order.percent, is_done)
 
-    def stimulus_advice_result(self, call_id: int, result: AdviceResult, now: float) -> None:
+    def on_advice_result(self, call_id: int, result: AdviceResult, now: float) -> None:
         """The advice service answered, or did not."""
-        step = self.context.desk.handle_result(call_id, result, now)
+        step = self.context.advice_dispatcher.handle_result(call_id, result, now)
         if step is not None:
-            asked = len(self.context.desk.workers_asked(step))
+            asked = len(self.context.advice_dispatcher.queried_worker_ids(step))
             self.context.log("advice", step=step.name, good=len(result.tickets), asked=asked)
             self._placer.reconsider(step)
-            self.context.wants_placement = True
-        elif self.context.desk.has_moved_calls:
-            self.context.wants_placement = True
+            self.context.needs_placement = True
+        elif self.context.advice_dispatcher.has_requeued_calls:
+            self.context.needs_placement = True
 
-    def stimulus_append_result(
+    def on_append_result(
         self, sequence: int, sent_at: float, result: AppendResult, now: float
     ) -> None:
         """The store answered the append with this sequence that was sent then, or did not."""
-        if self.context.is_over:
+        if self.context.has_stepped_down:
             return
         self._note_active(now)
         if self.context.commit.handle_result(sequence, sent_at, result, now):
@@ -287,12 +289,12 @@
 
     # Calls
 
-    def stimulus_call(self, call_id: int, call: Call, now: float) -> None:
+    def on_call(self, call_id: int, call: Call, now: float) -> None:
         """An entry passes on a client's call."""
         self._note_active(now)
         self._calls.handle_call(call_id, call, now)
 
-    def stimulus_quota_reply(self, request: QuotaRequest, reply: CallReply, now: float) -> None:
+    def on_quota_reply(self, request: QuotaRequest, reply: CallReply, now: float) -> None:
         """A tenant's home shard answered a request for a part of its quota, or did not."""
         self.quotas.handle_reply(request, reply, now)
 
@@ -302,14 +304,14 @@
 
     # Time
 
-    def stimulus_tick(self, now: float, wall_ms: float) -> None:
+    def on_tick(self, now: float, wall_ms: float) -> None:
         """Some time has passed; ``wall_ms`` is the time of day, counted from 1970."""
-        if self.context.is_over or not self._is_recovered:
+        if self.context.has_stepped_down or not self._is_recovered:
             return
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
         self._note_active(now)
         self._calls.keep(now)
-        self.workers.keep(now)
+        self.workers.tick(now)
         if now >= self._next_round_at:
             self._next_round_at = now + ROUND_SECONDS
             self._keep_slowly(now, wall_ms)
@@ -320,22 +322,22 @@
         self._last_active_at = now
         if gap > STALL_SECONDS:
             self.context.log("stalled", seconds=round(gap, 2))
-            self.context.paused_until = now
+            self.context.stall_ended_at = now
 
     def _keep_slowly(self, now: float, wall_ms: float) -> None:
         """Look at everything that need not be looked at on every tick."""
-        self.context.book.keep(now, wall_ms, self._options.early_ms)
-        self.runs.keep(now)
-        self._evacuation.keep(now)
-        self._paces.keep(now)
-        self._admission.keep(now)
-        self._estimates.keep(now)
-        self.context.wants_placement = True
+        self.context.job_registry.keep(now, wall_ms, self._options.early_ms)
+        self.runs.tick(now)
+        self._evacuation.tick(now)
+        self._paces.tick(now)
+        self._admission.tick(now)
+        self._estimates.tick(now)
+        self.context.needs_placement = True
 
     def flush(self, now: float) -> list[ShardAction]:
         """Place what can be placed, commit what is due, and hand out the instructions."""
         context = self.context
-        if not context.is_over and self._is_recovered:
+        if not context.has_stepped_down and self._is_recovered:
             self._note_active(now)
             self._place_if_due(now)
             append = context.commit.next_append(now)
@@ -345,26 +347,26 @@
         actions, context.actions = context.actions, []
         return actions
 
-    def next_moment(self) -> float | None:
+    def next_wakeup_at(self) -> float | None:
         """Return when :meth:`flush` is to be called though nothing comes in."""
-        moment = self.context.commit.next_moment()
+        moment = self.context.commit.next_wakeup_at()
         if not self._is_placement_put_off:
             return moment
         return self._next_placement_at if moment is None else min(moment, self._next_placement_at)
 
     def _place_if_due(self, now: float) -> None:
         context = self.context
-        is_wanted = context.wants_placement and context.may_order(now)
+        is_wanted = context.needs_placement and context.may_send_orders(now)
         self._is_placement_put_off = is_wanted and now < self._next_placement_at
         if is_wanted and not self._is_placement_put_off:
-            context.wants_placement = False
+            context.needs_placement = False
             self._place(now)
 
     def _place(self, now: float) -> None:
         context = self.context
-        for step in context.desk.take_due_retries(now):
+        for step in context.advice_dispatcher.take_due_retries(now):
             self._placer.reconsider(step)
-        steps = list(context.book.startable_steps())
+        steps = list(context.job_registry.startable_steps())
         pause = PLACEMENT_PAUSE_SECONDS + PLACEMENT_PAUSE_A_STEP_SECONDS * len(steps)
         self._next_placement_at = now + min(pause, LONGEST_PLACEMENT_PAUSE_SECONDS)
         plans = self._placer.plan(steps, context.policy, self.quotas.begin_pass(now), now)
@@ -374,15 +376,15 @@
             self._log_overlooked(overlooked, now)
         for held_back in self._placer.take_newly_over_quota():
             self._log_over_quota(held_back)
-        for eviction in self._placer.take_evictions():
+        for eviction in self._placer.take_preemption_requests():
             self.runs.preempt(eviction, now)
         # A long plan was cut off; the rest follows.
-        context.wants_placement = sum(len(item.placements) for item in plans) >= MAXIMUM_PLACEMENTS
-        for call in context.desk.dispatch(now):
-            context.emit(AskAdvice(call.call_id, call.advisor, call.step, call.worker_ids))
+        context.needs_placement = sum(len(item.placements) for item in plans) >= MAXIMUM_PLACEMENTS
+        for call in context.advice_dispatcher.dispatch(now):
+            context.emit(RequestAdvice(call.call_id, call.entry_name, call.step, call.worker_ids))
             tenant = call.progress.job.spec.tenant
-            context.emit(AdviceAsked(call.queue, tenant, max(0.0, now - call.wanted_at)))
-        for notice in context.desk.take_notices(now):
+            context.emit(AdviceRequested(call.queue, tenant, max(0.0, now - call.requested_at)))
+        for notice in context.advice_dispatcher.take_log_events(now):
             context.log(notice.event, **notice.fields)
 
     def _log_overlooked(self, step: StepProgress, now: float) -> None:
@@ -411,9 +413,9 @@
 
     def _check_fence(self, result: OrderResult) -> bool:
         """Step down if a worker has seen a higher token; return whether to go on."""
-        if self.context.is_over:
+        if self.context.has_stepped_down:
             return False
-        if result.outcome.is_fence:
+        if result.outcome.is_fenced:
             self.context.step_down(StepDownReason.WORKER_FENCED)
             return False
         return True
--- a/src/onyxspoke/core/shard/store_budget.py
+++ b/src/onyxspoke/core/shard/store_budget.py
@@ -29,20 +29,20 @@
 
     Attributes
     ----------
-    commit_seconds : float
+    commit_interval_seconds : float
         Between two appends of one holder at least.
     look_seconds : float
         Between two looks for one shard's holder at least, at a node that is not to take over;
         the turns of such nodes to claim the shard are spread over as long.
     """
 
-    commit_seconds: float = 0.0
+    commit_interval_seconds: float = 0.0
     look_seconds: float = 0.0
 
 
-def pace_calls(budget: StoreBudget, node_count: int, shard_count: int) -> StorePacing:
+def compute_store_pacing(budget: StoreBudget, node_count: int, shard_count: int) -> StorePacing:
     """Return the pacing of a node in a cell of so many nodes and shards."""
     return StorePacing(
-        commit_seconds=shard_count / (COMMIT_SHARE * budget.writes_per_second),
+        commit_interval_seconds=shard_count / (COMMIT_SHARE * budget.writes_per_second),
         look_seconds=node_count * shard_count / (LOOK_SHARE * budget.reads_per_second),
     )
--- a/src/onyxspoke/core/shard/tenant_summary.py
+++ b/src/onyxspoke/core/shard/tenant_summary.py
@@ -46,7 +46,7 @@
 
 
 def summarise_tenants(
-    context: ShardContext, part_of: Callable[[TenantName], Needs]
+    context: ShardContext, allocation_of: Callable[[TenantName], Needs]
 ) -> list[TenantSummary]:
     """Return what is known of every tenant of the configuration, in order of their names."""
     policies = context.policy.tenants
@@ -55,13 +55,13 @@
             tenant=name,
             weight=policy.weight,
             used=context.ledger.used(name),
-            quota=_limits(part_of(name), policy.quota),
+            quota=_limits(allocation_of(name), policy.quota),
             owed=context.shares.owed_count(name),
             beyond=context.shares.beyond_count(name),
         )
         for name, policy in policies.items()
     }
-    for job in context.book.jobs.values():
+    for job in context.job_registry.jobs.values():
         found = summaries.get(job.spec.tenant)
         if found is None or job.state.is_final:
             continue
--- a/src/onyxspoke/core/shard/worker_keeper.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -4,15 +4,15 @@
 
 import math
 
-from onyxspoke.core.placement.blame import EndOfLife
+from onyxspoke.core.placement.blame import IncarnationEndReason
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.core.placement.workers import HoldInFlight, Worker, WorkerContact
 from onyxspoke.core.shard.actions import DropWorkerConnections, SendHold, StepDownReason
 from onyxspoke.core.shard.context import ShardContext, address_of
 from onyxspoke.core.shard.orders import HoldResult, OrderOutcome
-from onyxspoke.core.shard.run_keeper import RunKeeper
-from onyxspoke.core.shard.run_reports import RunReports
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.run_manager import RunManager
+from onyxspoke.core.shard.run_reconciler import RunReconciler
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 
 #: Pause between looks at a worker that does not answer.
 SILENT_LOOK_SECONDS = 0.35
@@ -36,32 +36,32 @@
 _MILLISECONDS = 1_000.0
 
 
-class WorkerKeeper:
+class WorkerManager:
     """Keeps contact with every worker of the shard.
 
     Parameters
     ----------
     context : ShardContext
         State of the holder.
-    runs : RunKeeper
+    runs : RunManager
         Ends what is certainly over.
-    reports : RunReports
+    reports : RunReconciler
         Takes in what workers list.
-    register : WorkerRegister
+    worker_registry : WorkerRegistry
         Which workers there are.
     """
 
     def __init__(
         self,
         context: ShardContext,
-        runs: RunKeeper,
-        reports: RunReports,
-        register: WorkerRegister,
+        runs: RunManager,
+        reports: RunReconciler,
+        worker_registry: WorkerRegistry,
     ) -> None:
         self._context = context
         self._runs = runs
         self._reports = reports
-        self._register = register
+        self._worker_registry = worker_registry
         self._settled_once = False
         self._hold_counter = 0
         #: When an answer of a worker that was in contact was last lost.
@@ -69,15 +69,15 @@
 
     # Holds
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Send the holds that are due, and end what is certainly over."""
-        self._register.keep(now)
+        self._worker_registry.tick(now)
         for worker in list(self._context.table.workers.values()):
-            if worker.contact is WorkerContact.OVER:
+            if worker.contact is WorkerContact.ENDED:
                 self._keep_over(worker, now)
                 continue
-            if worker.contact is not WorkerContact.SETTLED and now > worker.lease_over_at():
-                self._end_life(worker, now, EndOfLife.LEASE_OVER)
+            if worker.contact is not WorkerContact.RECONCILED and now > worker.lease_over_at():
+                self._end_life(worker, now, IncarnationEndReason.LEASE_EXPIRED)
                 continue
             self._hold_if_due(worker, now)
         self._settle_if_known(now)
@@ -90,22 +90,22 @@
         """
         services = self._context.policy.services
         is_known = not services or worker.record.service in services
-        return is_known or bool(worker.runs) or worker.was_used_before
+        return is_known or bool(worker.runs) or worker.was_used_by_previous_holder
 
     def _hold_if_due(self, worker: Worker, now: float) -> None:
         if not self._is_of_use(worker):
             return
-        if worker.wants_look and not worker.quick_hold.sent_at:
-            worker.wants_look = False
-            self._send_hold(worker, worker.quick_hold, now, wait_ms=0)
+        if worker.poll_requested and not worker.immediate_hold.sent_at:
+            worker.poll_requested = False
+            self._send_hold(worker, worker.immediate_hold, now, wait_ms=0)
         elif not worker.long_hold.sent_at and now >= worker.next_hold_at:
-            is_settled = worker.contact is WorkerContact.SETTLED
+            is_settled = worker.contact is WorkerContact.RECONCILED
             is_committed = worker.told_through >= worker.seen_through
-            may_wait = is_settled and is_committed and worker.misses == 0
+            may_wait = is_settled and is_committed and worker.missed_holds == 0
             wait_ms = self._context.options.hold_wait_ms if may_wait else 0
             if now - self._answer_lost_at < LOSSY_SECONDS and worker.runs:
                 wait_ms = min(wait_ms, LOSSY_WAIT_MS)
-            if worker.has_fillers():
+            if worker.needs_pacing():
                 # Figures of what serves are wanted more often than ends come.
                 wait_ms = min(wait_ms, FIGURES_WAIT_MS)
             self._send_hold(worker, worker.long_hold, now, wait_ms=wait_ms)
@@ -118,15 +118,15 @@
         hold.wait_seconds = wait_ms / _MILLISECONDS
         until_ms = 0
         # A silent worker may hear us though we do not hear it; then its lease is to run out.
-        is_heard = worker.contact is WorkerContact.SETTLED
-        if is_heard and worker.clock.is_known and context.may_order(now):
+        is_heard = worker.contact is WorkerContact.RECONCILED
+        if is_heard and worker.clock.is_known and context.may_send_orders(now):
             until_ms = worker.clock.estimate_ms(now) + context.options.maximum_hold_ms
             worker.extend_lease(until_ms)
         context.emit(
             SendHold(
                 address=address_of(worker),
                 token=context.token,
-                last_seen=worker.told_through,
+                acknowledged_through=worker.told_through,
                 until_ms=until_ms,
                 wait_ms=wait_ms,
                 number=hold.number,
@@ -137,7 +137,7 @@
         self, worker: Worker, number: int, result: HoldResult, now: float
     ) -> None:
         """A worker answered a hold, or did not."""
-        hold = worker.long_hold if worker.long_hold.number == number else worker.quick_hold
+        hold = worker.long_hold if worker.long_hold.number == number else worker.immediate_hold
         if hold.number != number or not hold.sent_at:
             return
         sent_at, hold.sent_at = hold.sent_at, 0.0
@@ -146,25 +146,25 @@
             self._take_answer(worker, result, sent_at, now)
         elif result.outcome is OrderOutcome.FENCED:
             self._context.step_down(StepDownReason.WORKER_FENCED)
-        elif result.outcome is OrderOutcome.OTHER_LIFE:
+        elif result.outcome is OrderOutcome.OTHER_INCARNATION:
             next_life = None
             if result.born_ms:
                 next_life = self._begin_next_life(worker, result.born_ms, now)
-            self._end_life(worker, now, EndOfLife.OTHER_LIFE, next_life)
+            self._end_life(worker, now, IncarnationEndReason.OTHER_INCARNATION, next_life)
         else:
             if result.outcome in (OrderOutcome.NO_ANSWER, OrderOutcome.NOT_SENT):
-                worker.note_unheard(ended_early)
+                worker.note_failed_poll(ended_early)
             self._take_miss(worker, result.outcome, now)
 
     def _take_answer(self, worker: Worker, result: HoldResult, sent_at: float, now: float) -> None:
         worker.clock.read(result.clock_ms, now)
         worker.born_ms = worker.born_ms or result.born_ms
-        if sent_at >= worker.doubted_at:
-            worker.doubted_at = 0.0
-        worker.misses = 0
+        if sent_at >= worker.unanswered_order_at:
+            worker.unanswered_order_at = 0.0
+        worker.missed_holds = 0
         worker.answered_at = now
-        worker.note_heard(now)
-        was_settled = worker.contact is WorkerContact.SETTLED
+        worker.note_answer(now)
+        was_settled = worker.contact is WorkerContact.RECONCILED
         self._reports.reconcile(worker, result, sent_at, now)
         if not was_settled:
             self._settle(worker, result, now)
@@ -173,34 +173,34 @@
         self._after_answer(worker, now)
 
     def _settle(self, worker: Worker, result: HoldResult, now: float) -> None:
-        if worker.contact is WorkerContact.UNSETTLED:
+        if worker.contact is WorkerContact.UNRECONCILED:
             # A former holder may have extended the lease just before.
             worker.extend_lease(result.clock_ms + self._context.options.maximum_hold_ms)
-        worker.move_to(WorkerContact.SETTLED)
+        worker.move_to(WorkerContact.RECONCILED)
         self._log(worker, "worker_settled", runs=len(worker.runs), born_ms=result.born_ms)
         worker.next_hold_at = now
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _after_answer(self, worker: Worker, now: float) -> None:
         context = self._context
-        pause = context.options.hold_pause_seconds
+        pause = context.options.hold_interval_seconds
         if worker.seen_through > worker.told_through:
             pause = UNCOMMITTED_PAUSE_SECONDS
             context.commit.after_commit(_TellWorker(worker, worker.seen_through, context))
         worker.next_hold_at = max(worker.next_hold_at, now + pause)
 
     def _take_miss(self, worker: Worker, outcome: OrderOutcome, now: float) -> None:
-        worker.misses += 1
-        if outcome is OrderOutcome.NO_ANSWER and worker.contact is WorkerContact.SETTLED:
+        worker.missed_holds += 1
+        if outcome is OrderOutcome.NO_ANSWER and worker.contact is WorkerContact.RECONCILED:
             self.note_answer_lost(now)
         if outcome is OrderOutcome.UNHEALTHY:
             worker.next_hold_at = now + UNHEALTHY_PAUSE_SECONDS
-        elif worker.misses < MISSES_TO_SILENCE:
+        elif worker.missed_holds < MISSES_TO_SILENCE:
             worker.next_hold_at = now
         else:
             worker.next_hold_at = now + SILENT_LOOK_SECONDS
-        if worker.misses >= MISSES_TO_SILENCE and worker.contact is WorkerContact.SETTLED:
-            worker.move_to(WorkerContact.SILENT)
+        if worker.missed_holds >= MISSES_TO_SILENCE and worker.contact is WorkerContact.RECONCILED:
+            worker.move_to(WorkerContact.UNRESPONSIVE)
             worker.silent_since = now
             lease_left = round(worker.lease_over_at() - now, 2)
             self._log(worker, "worker_silent", outcome=outcome.value, lease_left=lease_left)
@@ -214,13 +214,17 @@
     # Ends of lives
 
     def _end_life(
-        self, worker: Worker, now: float, sign: EndOfLife, next_life: Worker | None = None
+        self,
+        worker: Worker,
+        now: float,
+        sign: IncarnationEndReason,
+        next_life: Worker | None = None,
     ) -> None:
-        if worker.contact is WorkerContact.OVER:
+        if worker.contact is WorkerContact.ENDED:
             if next_life is not None:
                 self._runs.hand_over_starts(worker, next_life, now)
             return
-        worker.move_to(WorkerContact.OVER)
+        worker.move_to(WorkerContact.ENDED)
         self._log(
             worker,
             "worker_over",
@@ -231,8 +235,8 @@
         )
         self._runs.abandon_all(worker, sign, now, next_life)
         self._reports.settle_worker(worker, now)
-        self._context.wants_placement = True
-        if sign is EndOfLife.OTHER_LIFE:
+        self._context.needs_placement = True
+        if sign is IncarnationEndReason.OTHER_INCARNATION:
             worker.listing = WorkerListing.GONE
 
     def _begin_next_life(self, former: Worker, born_ms: int, now: float) -> Worker:
@@ -243,14 +247,14 @@
         again, and made us leave its lists aside, so that tasks did not run at all.
         """
         self._context.emit(DropWorkerConnections(address_of(former)))
-        worker = self._register.begin_next_life(former, born_ms, now)
-        self._context.desk.forget_worker(worker.worker_id)
+        worker = self._worker_registry.begin_next_life(former, born_ms, now)
+        self._context.advice_dispatcher.forget_worker(worker.worker_id)
         self._log(
             worker,
             "worker_started_again",
             born_ms=born_ms,
             former_born_ms=former.born_ms,
-            described=int(worker.is_described),
+            described=int(worker.is_record_current),
         )
         return worker
 
@@ -259,20 +263,20 @@
             # The directory still has it: it may have been cut off, and come back.
             self._hold_if_due(worker, now)
             return
-        if worker.long_hold.sent_at or worker.quick_hold.sent_at:
+        if worker.long_hold.sent_at or worker.immediate_hold.sent_at:
             return
-        self._register.forget(worker)
+        self._worker_registry.forget(worker)
         self._context.emit(DropWorkerConnections(address_of(worker)))
 
     def _settle_if_known(self, now: float) -> None:
-        if self._settled_once or self._context.table.unsettled():
+        if self._settled_once or self._context.table.unreconciled():
             return
         self._settled_once = True
         self._context.log("recovery_complete", workers=len(self._context.table.workers))
-        self._context.book.is_recovering = False
-        self._context.book.settle_doubt(now)
+        self._context.job_registry.is_recovering = False
+        self._context.job_registry.settle_doubt(now)
         self._runs.repair_gangs(now)
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _log(self, worker: Worker, event: str, **fields: str | int | float) -> None:
         self._context.log(event, worker=worker.worker_id, **fields)
@@ -289,5 +293,5 @@
     def __call__(self, now: float) -> None:
         worker = self._worker
         worker.told_through = max(worker.told_through, self._number)
-        pause = self._context.options.hold_pause_seconds
+        pause = self._context.options.hold_interval_seconds
         worker.next_hold_at = min(worker.next_hold_at, max(now, worker.answered_at + pause))
