--- a/src/onyxspoke/core/shard/worker_register.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -19,7 +19,7 @@
     WorkerListing,
     WorkerRecord,
 )
-from onyxspoke.core.placement.workers import REMEMBERED_BIRTHS, Worker, WorkerContact
+from onyxspoke.core.placement.workers import MAX_PREVIOUS_STARTS, Worker, WorkerContact
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.shard.log_records import WORKER_PREFIX, ShardRecord
 
@@ -36,21 +36,21 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class WorkerRegister:
+class WorkerRegistry:
     """Keeps the workers of one shard.
 
     Parameters
     ----------
     context : ShardContext
         State of the holder.
-    former_orders_until : float
+    previous_orders_until : float
         The holder's second by which no former holder orders any more.
     """
 
-    def __init__(self, context: ShardContext, former_orders_until: float) -> None:
+    def __init__(self, context: ShardContext, previous_orders_until: float) -> None:
         self._context = context
         self._former_leases_until = (
-            former_orders_until + self._hold_seconds() + LEASE_MARGIN_SECONDS
+            previous_orders_until + self._hold_seconds() + LEASE_MARGIN_SECONDS
         )
         self._unrecorded: dict[WorkerId, Worker] = {}
         self._dropped: dict[WorkerId, None] = {}
@@ -62,7 +62,7 @@
         """Take in a worker that a former holder used."""
         worker = self._add(record, now)
         worker.is_recorded = True
-        worker.was_used_before = True
+        worker.was_used_by_previous_holder = True
         worker.listing = WorkerListing.GONE
 
     @property
@@ -96,7 +96,7 @@
         if worker is None or worker.listing in (WorkerListing.UNUSABLE, WorkerListing.DRAINING):
             return
         worker.listing = WorkerListing.UNUSABLE
-        worker.lapsed_until = 0.0
+        worker.missing_entry_grace_until = 0.0
         _log(self._context, worker, "worker_unusable", fault=entry.fault.value)
 
     def handle_unlisted(self, worker_id: WorkerId, now: float) -> None:
@@ -104,36 +104,38 @@
         worker = self._context.table.workers.get(worker_id)
         if worker is None or worker.listing is WorkerListing.GONE:
             return
-        in_contact = worker.contact is WorkerContact.SETTLED
+        in_contact = worker.contact is WorkerContact.RECONCILED
         if (
             worker.listing is WorkerListing.READY
             and in_contact
             and now < self._entries_return_until
         ):
-            if not worker.lapsed_until:
+            if not worker.missing_entry_grace_until:
                 _log(self._context, worker, "worker_lapsed")
-            worker.lapsed_until = self._entries_return_until
+            worker.missing_entry_grace_until = self._entries_return_until
             return
         self._note_gone(worker)
 
     def _note_gone(self, worker: Worker) -> None:
         worker.listing = WorkerListing.GONE
-        worker.lapsed_until = 0.0
+        worker.missing_entry_grace_until = 0.0
         _log(self._context, worker, "worker_unlisted")
 
     def _end_lapse_if_due(self, worker: Worker, now: float) -> None:
         """Take a worker for gone whose entry has not come back."""
-        in_contact = worker.contact is WorkerContact.SETTLED
-        if worker.lapsed_until and (now >= worker.lapsed_until or not in_contact):
+        in_contact = worker.contact is WorkerContact.RECONCILED
+        if worker.missing_entry_grace_until and (
+            now >= worker.missing_entry_grace_until or not in_contact
+        ):
             self._note_gone(worker)
 
     def _take_listing(self, record: WorkerRecord, now: float) -> None:
         worker = self._context.table.workers.get(record.worker_id)
         if worker is not None and worker.born_ms and not record.born_ms:
             # The worker says when it was born in all that it writes, so another wrote this.
-            self._take_unusable(UnusableEntry(record.worker_id, EntryFault.NO_BIRTH))
+            self._take_unusable(UnusableEntry(record.worker_id, EntryFault.NO_START_TIME))
             return
-        if worker is not None and record.born_ms in worker.former_births:
+        if worker is not None and record.born_ms in worker.previous_starts_ms:
             # Out of date: the room and the kind of this life are not those of a former one.
             _log(self._context, worker, "entry_out_of_date", born_ms=record.born_ms)
             return
@@ -151,7 +153,7 @@
             )
         if worker.listing is not record.listing:
             if record.listing is WorkerListing.DRAINING:
-                worker.leaves_at = now + record.remaining_ms / _MILLISECONDS
+                worker.earliest_exit_at = now + record.remaining_ms / _MILLISECONDS
             worker.listing = record.listing
             _log(self._context, worker, "worker_listing", listing=record.listing.value)
         if worker.record.born_ms != record.born_ms:
@@ -160,17 +162,17 @@
             self._take_capacity(worker, record.capacity)
         worker.record = record
         worker.speed.kind = record.kind
-        worker.lapsed_until = 0.0
-        is_of_use = record.listing is WorkerListing.READY and worker.is_described
+        worker.missing_entry_grace_until = 0.0
+        is_of_use = record.listing is WorkerListing.READY and worker.is_record_current
         if is_of_use and not worker.is_recorded:
             # Its record may have been dropped when it was emptied; it is of use again.
             self._dropped.pop(record.worker_id, None)
             self._unrecorded[record.worker_id] = worker
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
     def _note_birth(self, worker: Worker, record: WorkerRecord) -> None:
         """The entry is of another life than before; an answer tells whether that one is there."""
-        worker.wants_look = worker.wants_look or record.born_ms != worker.born_ms
+        worker.poll_requested = worker.poll_requested or record.born_ms != worker.born_ms
         _log(
             self._context,
             worker,
@@ -188,11 +190,11 @@
         It is of use once the directory describes it, too.
         """
         # An order to the former life that stands open may let something run for one lease.
-        unsettled_until = now + self._hold_seconds() + LEASE_MARGIN_SECONDS
-        worker = Worker(former.record, unsettled_until)
+        previous_lease_expires_at = now + self._hold_seconds() + LEASE_MARGIN_SECONDS
+        worker = Worker(former.record, previous_lease_expires_at)
         worker.born_ms = born_ms
-        births = (*former.former_births, former.born_ms)
-        worker.former_births = births[-REMEMBERED_BIRTHS:]
+        births = (*former.previous_starts_ms, former.born_ms)
+        worker.previous_starts_ms = births[-MAX_PREVIOUS_STARTS:]
         worker.speed = self._context.durations.begin_life(
             worker.worker_id, born_ms, worker.record.kind, now
         )
@@ -200,7 +202,7 @@
         self._context.table.workers[worker.worker_id] = worker
         self._unrecorded.pop(worker.worker_id, None)
         self._dropped.pop(worker.worker_id, None)
-        if worker.is_described:
+        if worker.is_record_current:
             self._unrecorded[worker.worker_id] = worker
         else:
             worker.listing = WorkerListing.GONE
@@ -208,8 +210,8 @@
 
     def _take_open_starts(self, worker: Worker, now: float) -> None:
         """What was ordered to a former life of the name may be carried out by this one."""
-        keys = self._context.table.open_starts.of_worker(worker.worker_id, now)
-        worker.open_starts = dict.fromkeys(keys, -math.inf)
+        keys = self._context.table.unresolved_starts.starts_on_worker(worker.worker_id, now)
+        worker.unresolved_starts = dict.fromkeys(keys, -math.inf)
 
     def _hold_seconds(self) -> float:
         """Return the longest lease that a worker grants, by our clock."""
@@ -231,7 +233,7 @@
             runs=len(worker.runs),
         )
         # A step that found no room looks again only at workers that have gained some.
-        self._context.table.note_gain(worker)
+        self._context.table.note_capacity_gain(worker)
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
         worker = Worker(record, self._former_leases_until)
@@ -241,12 +243,12 @@
         self._context.table.workers[record.worker_id] = worker
         return worker
 
-    def handle_advice_of_death(self, former_orders_until: float) -> None:
+    def shorten_previous_leases(self, previous_orders_until: float) -> None:
         """It is certain that former holders have stopped ordering earlier than assumed."""
-        until = former_orders_until + self._hold_seconds() + LEASE_MARGIN_SECONDS
+        until = previous_orders_until + self._hold_seconds() + LEASE_MARGIN_SECONDS
         self._former_leases_until = min(self._former_leases_until, until)
         for worker in self._context.table.workers.values():
-            worker.unsettled_until = min(worker.unsettled_until, until)
+            worker.previous_lease_expires_at = min(worker.previous_lease_expires_at, until)
 
     # Records
 
@@ -269,9 +271,9 @@
 
     # Time
 
-    def keep(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """End what has lapsed for good, and drop records that are needed no more."""
-        if self._context.commit.is_in_trouble(now, AWAY_SECONDS):
+        if self._context.commit.is_append_overdue(now, AWAY_SECONDS):
             self._entries_return_until = now + RETURN_SECONDS
         for worker in self._context.table.workers.values():
             self._end_lapse_if_due(worker, now)
@@ -291,8 +293,8 @@
         before it starts what may run there already.  A worker that leaves answers no more, and
         its lease is the longest that there is.
         """
-        is_known = worker.contact in (WorkerContact.SETTLED, WorkerContact.SILENT)
-        is_empty = not worker.runs and not worker.strays
+        is_known = worker.contact in (WorkerContact.RECONCILED, WorkerContact.UNRESPONSIVE)
+        is_empty = not worker.runs and not worker.orphan_runs
         is_leaving = self._directory_is_known and worker.listing is not WorkerListing.READY
         if worker.is_recorded and is_known and is_empty and is_leaving:
             worker.is_recorded = False
@@ -311,7 +313,7 @@
 
     def __call__(self, now: float) -> None:
         self._worker.is_recorded = True
-        self._context.wants_placement = True
+        self._context.needs_placement = True
 
 
 def _log(context: ShardContext, worker: Worker, event: str, **fields: str | int | float) -> None:
--- a/src/onyxspoke/entry/shell.py
+++ b/src/onyxspoke/entry/shell.py
@@ -93,7 +93,7 @@
         """Submit a request; ``on_answer`` is called once."""
         request_id = self._register_caller(on_answer)
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_request(request_id, request, patience_seconds, now))
+        self.carry_out(self.scheduler.on_request(request_id, request, patience_seconds, now))
         return request_id
 
     def submit_job(
@@ -102,17 +102,17 @@
         """Submit a durable job; ``on_answer`` is called once, with its acceptance."""
         request_id = self._register_caller(on_answer)
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_job(request_id, job, patience_seconds, now))
+        self.carry_out(self.scheduler.on_job(request_id, job, patience_seconds, now))
 
     def hang_up(self, request_id: str) -> None:
         """Forget a caller that went away."""
         if self._callers.pop(request_id, None) is not None:
             now = self._clock.now()
-            self.carry_out(self.scheduler.stimulus_hang_up(request_id, now))
+            self.carry_out(self.scheduler.on_hang_up(request_id, now))
 
     def cancel_job(self, job_id: JobId) -> None:
         """Give up a job."""
-        self.carry_out(self.scheduler.stimulus_cancel_job(job_id, self._clock.now()))
+        self.carry_out(self.scheduler.on_cancel_job(job_id, self._clock.now()))
 
     def wait_for_job(self, job_id: JobId, on_finished: Callable[[], None]) -> None:
         """Call back when a job has ended."""
@@ -131,47 +131,47 @@
     ) -> None:
         """Change settings; one callback is called, once the change was folded or given up."""
         self._verdict_waiters[apply.change_id] = (on_verdict, on_refused)
-        self.carry_out(self.scheduler.stimulus_settings_change(apply, self._clock.now()))
+        self.carry_out(self.scheduler.on_settings_change(apply, self._clock.now()))
 
     def drain_worker(self, worker_id: WorkerId, *, draining: bool) -> None:
         """Take a worker out of use or back into it."""
         if worker_id not in self.scheduler.context.machines:
             raise OnyxspokeError(ResultCode.NO_SUCH_WORKER, f"no worker {worker_id}")
-        self.carry_out(self.scheduler.stimulus_drain(worker_id, draining, self._clock.now()))
+        self.carry_out(self.scheduler.on_drain(worker_id, draining, self._clock.now()))
 
     def tick(self) -> None:
         """Let the core see the time."""
-        self.carry_out(self.scheduler.stimulus_tick(self._clock.now()))
+        self.carry_out(self.scheduler.on_tick(self._clock.now()))
 
     def stop(self) -> None:
         """Begin a planned stop."""
         logging.info("event=stop_began entry=%s", self.entry_id)
-        self.carry_out(self.scheduler.stimulus_stop(self._clock.now()))
+        self.carry_out(self.scheduler.on_stop(self._clock.now()))
 
     # Listener of the log
 
     def handle_log_start(self, stream: LogStream, first_kept: Offset, next_offset: Offset) -> None:
         """The log keeps a stream from one offset on."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_log_start(stream, first_kept, next_offset, now))
+        self.carry_out(self.scheduler.on_log_start(stream, first_kept, next_offset, now))
 
     def handle_log_batch(self, stream: LogStream, offset: Offset, batch: LogBatch) -> None:
         """One batch was read."""
         now = self._clock.now()
         if stream is LogStream.CELL:
-            self.carry_out(self.scheduler.stimulus_cell_batch(offset, batch, now))
+            self.carry_out(self.scheduler.on_cell_batch(offset, batch, now))
         else:
-            self.carry_out(self.scheduler.stimulus_settings_batch(offset, batch, now))
+            self.carry_out(self.scheduler.on_settings_batch(offset, batch, now))
 
     def handle_append_failed(self, stream: LogStream) -> None:
         """An append failed or its fate is unknown."""
-        self.carry_out(self.scheduler.stimulus_append_failed(stream, self._clock.now()))
+        self.carry_out(self.scheduler.on_append_failed(stream, self._clock.now()))
 
     # Listener of the machine list
 
     def handle_machine_list(self, machines: list[MachineRecord]) -> None:
         """The machine list changed."""
-        self.carry_out(self.scheduler.stimulus_machine_list(machines, self._clock.now()))
+        self.carry_out(self.scheduler.on_machine_list(machines, self._clock.now()))
 
     # Listener of workers
 
@@ -190,23 +190,19 @@
             len(running),
         )
         now = self._clock.now()
-        self.carry_out(
-            self.scheduler.stimulus_worker_inventory(worker_id, token, capacity, running, now)
-        )
+        self.carry_out(self.scheduler.on_worker_inventory(worker_id, token, capacity, running, now))
 
     def handle_worker_disconnected(self, worker_id: WorkerId) -> None:
         """The connection to a worker was lost."""
         logging.info("event=worker_disconnected worker=%s", worker_id)
-        self.carry_out(self.scheduler.stimulus_worker_disconnected(worker_id, self._clock.now()))
+        self.carry_out(self.scheduler.on_worker_disconnected(worker_id, self._clock.now()))
 
     def handle_task_ended(
         self, worker_id: WorkerId, attempt_id: AttemptId, answer: Answer, task_name: TaskName
     ) -> None:
         """A task ended."""
         now = self._clock.now()
-        self.carry_out(
-            self.scheduler.stimulus_task_ended(worker_id, attempt_id, answer, task_name, now)
-        )
+        self.carry_out(self.scheduler.on_task_ended(worker_id, attempt_id, answer, task_name, now))
 
     def handle_task_refused(
         self, worker_id: WorkerId, attempt_id: AttemptId, code: ResultCode
@@ -214,18 +210,18 @@
         """A task was refused."""
         logging.info("event=task_refused worker=%s code=%s", worker_id, code.name)
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_task_refused(worker_id, attempt_id, code, now))
+        self.carry_out(self.scheduler.on_task_refused(worker_id, attempt_id, code, now))
 
     # Listener of peers
 
     def handle_peer_connected(self, peer_id: EntryId) -> None:
         """The stream to a peer is up."""
-        self.carry_out(self.scheduler.stimulus_peer_connected(peer_id, self._clock.now()))
+        self.carry_out(self.scheduler.on_peer_connected(peer_id, self._clock.now()))
 
     def handle_peer_disconnected(self, peer_id: EntryId) -> None:
         """The stream to a peer was lost."""
         logging.info("event=peer_disconnected peer=%s", peer_id)
-        self.carry_out(self.scheduler.stimulus_peer_disconnected(peer_id, self._clock.now()))
+        self.carry_out(self.scheduler.on_peer_disconnected(peer_id, self._clock.now()))
 
     def handle_peer_capacity(
         self,
@@ -237,9 +233,7 @@
         """A peer advertised its free capacity and its settings revision."""
         now = self._clock.now()
         self.carry_out(
-            self.scheduler.stimulus_peer_capacity(
-                peer_id, free, largest_free, settings_revision, now
-            )
+            self.scheduler.on_peer_capacity(peer_id, free, largest_free, settings_revision, now)
         )
 
     def handle_peer_request(
@@ -252,25 +246,23 @@
         """A peer forwarded a request."""
         now = self._clock.now()
         self.carry_out(
-            self.scheduler.stimulus_peer_request(
-                peer_id, request_id, request, remaining_seconds, now
-            )
+            self.scheduler.on_peer_request(peer_id, request_id, request, remaining_seconds, now)
         )
 
     def handle_peer_answer(self, peer_id: EntryId, request_id: str, answer: Answer) -> None:
         """A peer answered."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_peer_answer(peer_id, request_id, answer, now))
+        self.carry_out(self.scheduler.on_peer_answer(peer_id, request_id, answer, now))
 
     def handle_key_query(self, peer_id: EntryId, request_id: str, key: str) -> None:
         """A peer asks for the answer under a key."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_key_query(peer_id, request_id, key, now))
+        self.carry_out(self.scheduler.on_key_query(peer_id, request_id, key, now))
 
     def handle_job_probe(self, peer_id: EntryId, probe_id: int, job_ids: list[JobId]) -> None:
         """A peer asks what runs on our workers."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_job_probe(peer_id, probe_id, job_ids, now))
+        self.carry_out(self.scheduler.on_job_probe(peer_id, probe_id, job_ids, now))
 
     def handle_job_probe_reply(
         self,
@@ -282,23 +274,23 @@
         """A peer answered a probe."""
         now = self._clock.now()
         self.carry_out(
-            self.scheduler.stimulus_job_probe_reply(peer_id, probe_id, worker_ids, running, now)
+            self.scheduler.on_job_probe_reply(peer_id, probe_id, worker_ids, running, now)
         )
 
     def handle_task_answer(self, task_name: TaskName, answer: Answer) -> None:
         """A peer passed on the answer of a job's task."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_task_answer(task_name, answer, now))
+        self.carry_out(self.scheduler.on_task_answer(task_name, answer, now))
 
     def handle_holdover_request(self, peer_id: EntryId, round_number: int) -> None:
         """A zone peer asks for a promise."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_holdover_request(peer_id, round_number, now))
+        self.carry_out(self.scheduler.on_holdover_request(peer_id, round_number, now))
 
     def handle_holdover_grant(self, peer_id: EntryId, round_number: int) -> None:
         """A zone peer gave its promise."""
         now = self._clock.now()
-        self.carry_out(self.scheduler.stimulus_holdover_grant(peer_id, round_number, now))
+        self.carry_out(self.scheduler.on_holdover_grant(peer_id, round_number, now))
 
     # Actions
 
--- a/src/onyxspoke/kit/jobs/store.py
+++ b/src/onyxspoke/kit/jobs/store.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.shard.log_records import (
     AppendOutcome,
     AppendResult,
-    NewestPage,
+    LatestRecordsPage,
     ShardAppend,
     ShardId,
     ShardRecord,
@@ -119,7 +119,7 @@
             if append.sequence != partition.sequence + 1:
                 return AppendResult(AppendOutcome.OUT_OF_SEQUENCE)
         if append.expected_end not in (-1, partition.end):
-            return AppendResult(AppendOutcome.MOVED, end=partition.end)
+            return AppendResult(AppendOutcome.END_MOVED, end=partition.end)
         if append.epoch > partition.epoch:
             partition.answers.clear()
         partition.epoch = append.epoch
@@ -151,13 +151,13 @@
                 partition.newest.pop(record.key, None)
         return AppendResult(AppendOutcome.DONE, offset, partition.end)
 
-    def read_newest(self, shard: ShardId, after_key: str) -> NewestPage:
+    def read_newest(self, shard: ShardId, after_key: str) -> LatestRecordsPage:
         """Return the newest records of the keys behind one."""
         partition = self._partitions.setdefault(shard, _Partition())
         keys = sorted(key for key in partition.newest if key > after_key)
         page = keys[:PAGE_RECORDS]
         records = [ShardRecord(key, partition.newest[key]) for key in page]
-        return NewestPage(True, records, len(keys) > len(page), partition.end)
+        return LatestRecordsPage(True, records, len(keys) > len(page), partition.end)
 
 
 class FakeStoreClient:
@@ -201,19 +201,19 @@
         self._path.to_outside(STORE, arrive)
 
     def read_newest(
-        self, shard: ShardId, after_key: str, on_page: Callable[[NewestPage], None]
+        self, shard: ShardId, after_key: str, on_page: Callable[[LatestRecordsPage], None]
     ) -> None:
         """Read; an answer that is lost turns up as not known after the timeout."""
         faults = self._store.faults
         exchange = _Exchange(self._path, self._store.timers, on_page)
-        exchange.expire(TIMEOUT_SECONDS, NewestPage(is_known=False))
+        exchange.expire(TIMEOUT_SECONDS, LatestRecordsPage(is_known=False))
 
         def arrive() -> None:
             if faults.is_down:
                 return
             is_within_rate = self._store.reads.take(self._store.timers.now())
             if self._node_name in faults.refuses or not is_within_rate:
-                exchange.answer(NewestPage(is_known=False))
+                exchange.answer(LatestRecordsPage(is_known=False))
                 return
             self._store.timers.schedule(CALL_SECONDS + faults.extra_seconds, carry_out)
 
--- a/src/onyxspoke/kit/jobs/worker_orders.py
+++ b/src/onyxspoke/kit/jobs/worker_orders.py
@@ -97,10 +97,10 @@
             worker = pool.find(address)
             if worker is None:
                 is_replaced = address.worker_id in pool.replaced
-                refuse(OrderOutcome.OTHER_LIFE if is_replaced else OrderOutcome.NO_ANSWER, 0)
+                refuse(OrderOutcome.OTHER_INCARNATION if is_replaced else OrderOutcome.NO_ANSWER, 0)
                 return
             if address.born_ms not in (0, worker.record.born_ms):
-                refuse(OrderOutcome.OTHER_LIFE, worker.record.born_ms)
+                refuse(OrderOutcome.OTHER_INCARNATION, worker.record.born_ms)
                 return
             if pool.random.random() < worker.faults.late_share:
                 late = partial(carry_out_late, worker)
--- a/src/onyxspoke/kit/jobs/workers.py
+++ b/src/onyxspoke/kit/jobs/workers.py
@@ -291,7 +291,7 @@
         if not self._take_token(order.token):
             on_result(HoldResult(OrderOutcome.FENCED))
             return
-        self._noted_through = max(self._noted_through, order.last_seen)
+        self._noted_through = max(self._noted_through, order.acknowledged_through)
         self._drop_noted()
         if order.until_ms:
             self._extend(order.until_ms)
--- a/src/onyxspoke/node/admission_news.py
+++ b/src/onyxspoke/node/admission_news.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable, Sequence
 
 from onyxspoke.core.admission.summary import (
-    SUMMARY_BYTES,
+    MAX_SUMMARY_BYTES,
     AdmissionSummary,
-    bound_summary,
-    size_of_summary,
+    summary_size_bytes,
+    truncate_summary,
 )
 from onyxspoke.core.shard.log_records import ShardId
 from onyxspoke.node.peers import PeerLink
@@ -51,9 +51,9 @@
         for shard, source in sources:
             summary = source(now)
             if summary is not None:
-                self._summaries.append((shard, bound_summary(summary, most)))
+                self._summaries.append((shard, truncate_summary(summary, most)))
         self._is_closed = any(summary.notices for _shard, summary in self._summaries)
-        self._size = sum(size_of_summary(summary) for _shard, summary in self._summaries)
+        self._size = sum(summary_size_bytes(summary) for _shard, summary in self._summaries)
         self._pause_seconds = self._size * link_count / SUMMARY_BYTES_A_SECOND
         earned = (now - self._allowed_at) * SUMMARY_BYTES_A_SECOND
         self._allowance = min(SUMMARY_BYTES_A_SECOND, self._allowance + earned)
@@ -76,4 +76,4 @@
 def _most_bytes(tellings: int) -> int:
     """Return how long a summary may be where so many are told in a round."""
     fitting = int(SUMMARY_BYTES_A_SECOND * ROUND_SECONDS / max(1, tellings))
-    return min(SUMMARY_BYTES, max(SHORTEST_SUMMARY_BYTES, fitting))
+    return min(MAX_SUMMARY_BYTES, max(SHORTEST_SUMMARY_BYTES, fitting))
--- a/src/onyxspoke/node/advice_exchange.py
+++ b/src/onyxspoke/node/advice_exchange.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from onyxspoke.core.shard.actions import AskAdvice
+from onyxspoke.core.shard.actions import RequestAdvice
 from onyxspoke.core.shard.log_records import ShardId
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult
 from onyxspoke.node.messages import AdviceAnswer, AdviceForward
@@ -51,17 +51,17 @@
 
         The others are in the same order at every holder.
         """
-        lives = [link.identity.life for link in self._peers.up_links() if link.identity]
+        lives = [link.identity.incarnation for link in self._peers.up_links() if link.identity]
         return [self._own_life, *sorted(lives, key=lambda life: zlib.crc32(life.encode()))]
 
-    def ask(self, shard: ShardId, action: AskAdvice) -> None:
+    def ask(self, shard: ShardId, action: RequestAdvice) -> None:
         """Have the advisor of a call ask."""
         take = partial(self._on_result, shard, action.call_id)
         if action.advisor == self._own_life:
             self._port.ask(action.step, action.worker_ids, take)
             return
         for link in self._peers.up_links():
-            if link.identity is not None and link.identity.life == action.advisor:
+            if link.identity is not None and link.identity.incarnation == action.advisor:
                 self._passed_on.setdefault(link, set()).add((shard, action.call_id))
                 link.send(AdviceForward(shard, action.call_id, action.step, action.worker_ids))
                 return
--- a/src/onyxspoke/node/call_gate.py
+++ b/src/onyxspoke/node/call_gate.py
@@ -13,8 +13,8 @@
     CallReply,
     ReplyCode,
     SubmitCall,
-    WaitingCall,
-    job_of,
+    WaitingCountCall,
+    job_id_of,
     queue_of,
 )
 from onyxspoke.core.shard.layout import CellLayout
@@ -58,7 +58,7 @@
         layout = self._layout()
         if layout is None:
             take(_reply_without_layout(call))
-        elif isinstance(call, WaitingCall):
+        elif isinstance(call, WaitingCountCall):
             total = WaitingSum(layout.shard_count, take)
             for shard in layout.shards():
                 self._router.submit(shard, call, total.add, now, now + seconds)
@@ -76,7 +76,7 @@
                 "event=call_given_up call=%s job=%s queue=%s code=%s reason=%s seconds=%.3f"
                 " retry_s=%.1f",
                 name,
-                job_of(call),
+                job_id_of(call),
                 queue_of(call) or "?",
                 reply.code.value,
                 reply.reason,
--- a/src/onyxspoke/node/call_router.py
+++ b/src/onyxspoke/node/call_router.py
@@ -6,7 +6,7 @@
 
 from absl import logging
 
-from onyxspoke.core.admission.board import AdmissionBoard
+from onyxspoke.core.admission.summary_cache import AdmissionSummaryCache
 from onyxspoke.core.admission.verdict import RefusalReason
 from onyxspoke.core.shard.calls import Call, CallReply, ReplyCode, SubmitCall
 from onyxspoke.core.shard.log_records import ShardId
@@ -61,13 +61,13 @@
     ----------
     send : callable
         Sends a call to the present holder.
-    board : AdmissionBoard
+    summary_cache : AdmissionSummaryCache
         Tells which queues the holders have closed.
     """
 
-    def __init__(self, send: Sender, board: AdmissionBoard) -> None:
+    def __init__(self, send: Sender, summary_cache: AdmissionSummaryCache) -> None:
         self._send = send
-        self._board = board
+        self._summary_cache = summary_cache
         self._pending: dict[int, _PendingCall] = {}
         self._last_id = 0
 
@@ -155,7 +155,7 @@
         if closed is not None:
             return closed
         job = pending.call.job
-        seconds = self._board.retry_seconds(
+        seconds = self._summary_cache.retry_seconds(
             pending.shard, job.queue.name, job.tenant, job.job_id, now, RETRY_AFTER_SECONDS
         )
         return _refused(seconds, "no_holder")
@@ -165,10 +165,12 @@
         if not isinstance(pending.call, SubmitCall):
             return None
         job = pending.call.job
-        seconds = self._board.decide(pending.shard, job.queue.name, job.tenant, job.job_id, now)
+        seconds = self._summary_cache.decide(
+            pending.shard, job.queue.name, job.tenant, job.job_id, now
+        )
         if seconds is None:
             return None
-        age = self._board.age_seconds(pending.shard, now) or 0.0
+        age = self._summary_cache.age_seconds(pending.shard, now) or 0.0
         logging.info(
             "event=job_refused_unsent shard=%d job=%s queue=%s tenant=%s age_ms=%d retry_s=%.1f",
             pending.shard,
--- a/src/onyxspoke/node/layout_planner.py
+++ b/src/onyxspoke/node/layout_planner.py
@@ -44,7 +44,7 @@
         if listed_seconds < self._patience(now):
             return None
         settings = self._settings
-        return plan_layout(workers, settings.workers_a_shard, settings.most_shards)
+        return plan_layout(workers, settings.workers_per_shard, settings.maximum_shards)
 
     def _patience(self, now: float) -> float:
         """Return for how long the list must have been known."""
--- a/src/onyxspoke/node/load_metrics.py
+++ b/src/onyxspoke/node/load_metrics.py
@@ -4,7 +4,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-from onyxspoke.core.shard.actions import AdviceAsked, CallerReturned
+from onyxspoke.core.shard.actions import AdviceRequested, CallerReturned
 
 #: Upper bounds of seconds to come back: whole, the shortest is 1.
 RETRY_BUCKETS = (1.0, 2.0, 3.0, 5.0, 8.0, 13.0, 21.0, 30.0)
@@ -81,7 +81,7 @@
         """A caller that was refused came again."""
         self.returns.labels(self._queues.label(action.queue), action.outcome.value).inc()
 
-    def note_advice_asked(self, action: AdviceAsked) -> None:
+    def note_advice_asked(self, action: AdviceRequested) -> None:
         """A call for advice has left the line."""
         labels = (self._queues.label(action.queue), self._tenants.label(action.tenant))
         self.advice_wait.labels(*labels).observe(max(0.0, action.seconds))
--- a/src/onyxspoke/node/load_reports.py
+++ b/src/onyxspoke/node/load_reports.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from onyxspoke.core.admission.board import LONGEST_CLOSED_SECONDS
 from onyxspoke.core.admission.summary import AdmissionSummary, QueueNotice
+from onyxspoke.core.admission.summary_cache import LONGEST_CLOSED_SECONDS
 from onyxspoke.core.jobs.model import QueuePolicy
 from onyxspoke.core.placement.queue_order import Lateness, StepRank
 from onyxspoke.core.shard.load_options import LoadOptions
@@ -118,7 +118,7 @@
                 age_seconds=closed.age_seconds,
             )
             for shard in node.seats
-            for closed in node.board.closed_queues(shard, now)
+            for closed in node.summary_cache.closed_queues(shard, now)
         ],
     )
 
@@ -170,7 +170,7 @@
     context = scheduler.context
     summary = scheduler.admission_summary(now) or AdmissionSummary(token=0)
     for name, queue in context.policy.queues.items():
-        waiting = context.book.waiting_count(name)
+        waiting = context.job_registry.waiting_count(name)
         advice_wait = _advice_wait(scheduler, queue, now)
         notices = [notice for notice in summary.notices if notice.queue == name]
         for notice in notices or [QueueNotice(queue=name, closed_seconds=0.0)]:
@@ -191,13 +191,13 @@
         return 0.0
     rank = StepRank(
         is_expired=False,
-        is_beyond_share=False,
+        is_over_share=False,
         priority=queue.priority,
         lateness=Lateness.ON_TIME,
         latest_start=now,
         step=0,
     )
-    return scheduler.context.desk.wait_seconds(queue.advice.call_seconds(1), rank, now)
+    return scheduler.context.advice_dispatcher.wait_seconds(queue.advice.call_seconds(1), rank, now)
 
 
 def _queue_factors(shard: ShardId, scheduler: ShardScheduler) -> Iterator[QueueFactor]:
--- a/src/onyxspoke/node/load_settings.py
+++ b/src/onyxspoke/node/load_settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from onyxspoke.core.shard.load_definitions import override_load_options
+from onyxspoke.core.shard.load_option_definitions import override_load_options
 from onyxspoke.node.settings import NodeSettings, SettingsError
 
 
--- a/src/onyxspoke/node/messages.py
+++ b/src/onyxspoke/node/messages.py
@@ -9,7 +9,7 @@
 from onyxspoke.core.shard.log_records import (
     AppendResult,
     ClaimRecord,
-    NewestPage,
+    LatestRecordsPage,
     ShardAppend,
     ShardId,
 )
@@ -119,7 +119,7 @@
     """What the store said."""
 
     relay_id: int
-    page: NewestPage
+    page: LatestRecordsPage
 
 
 NodeMessage = (
--- a/src/onyxspoke/node/metrics.py
+++ b/src/onyxspoke/node/metrics.py
@@ -4,7 +4,7 @@
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from onyxspoke.core.shard.actions import JobBegun, JobEnded
+from onyxspoke.core.shard.actions import JobEnded, JobStarted
 from onyxspoke.node.load_metrics import (
     MAXIMUM_QUEUES,
     MAXIMUM_TENANTS,
@@ -66,7 +66,7 @@
         self.replies.labels(call, code).inc()
         self.reply_seconds.labels(self._asked_queues.label(queue), call).observe(seconds)
 
-    def note_begun(self, job: JobBegun) -> None:
+    def note_begun(self, job: JobStarted) -> None:
         """A job had its first run."""
         labels = (job.queue, self._tenants.label(job.tenant))
         self.wait_seconds.labels(*labels).observe(max(0.0, job.seconds))
--- a/src/onyxspoke/node/node.py
+++ b/src/onyxspoke/node/node.py
@@ -13,14 +13,14 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IDelayedCall
 
-from onyxspoke.core.admission.board import AdmissionBoard
-from onyxspoke.core.shard.actions import AskAdvice, StepDownReason
+from onyxspoke.core.admission.summary_cache import AdmissionSummaryCache
+from onyxspoke.core.shard.actions import RequestAdvice, StepDownReason
 from onyxspoke.core.shard.calls import Call, CallReply, QuotaCall, ReplyCode
-from onyxspoke.core.shard.election_actions import LossReason, NodeIdentity
+from onyxspoke.core.shard.election_actions import ConnectionLossReason, NodeIdentity
 from onyxspoke.core.shard.layout import FIRST_SHARD, CellLayout
 from onyxspoke.core.shard.log_records import ClaimRecord, ShardId
 from onyxspoke.core.shard.orders import AdviceResult
-from onyxspoke.core.shard.store_budget import pace_calls
+from onyxspoke.core.shard.store_budget import compute_store_pacing
 from onyxspoke.net.network import Network
 from onyxspoke.net.stream import encode_message
 from onyxspoke.node.admission_news import AdmissionNews, ShardSummary
@@ -120,8 +120,10 @@
         self.configurations = ConfigurationKeeper(ports.configuration, clock, self.peers.up_links)
         self.configurations.listen(self._set_policy)
         self.store = StoreGateway(ports.store, clock, self.peers.up_links)
-        self.board = AdmissionBoard(settings.shard_options.load.summary_trust_seconds)
-        self.router = CallRouter(self._send_call, self.board)
+        self.summary_cache = AdmissionSummaryCache(
+            settings.shard_options.load.summary_trust_seconds
+        )
+        self.router = CallRouter(self._send_call, self.summary_cache)
         self.keys = KeyGate(
             self.configurations, clock, self.retry, settings.key_trust_seconds, self.metrics
         )
@@ -129,7 +131,9 @@
         self._store_watch = StoreWatch(self.store, self.peers)
         self._directory = DirectoryHub(ports.directory, clock)
         self._planner = LayoutPlanner(settings, self._directory, clock)
-        self._advice = AdviceExchange(ports.advice, identity.life, self.peers, self._take_advice)
+        self._advice = AdviceExchange(
+            ports.advice, identity.incarnation, self.peers, self._take_advice
+        )
         self._succession = Succession()
         self.seats: dict[ShardId, ShardSeat] = {FIRST_SHARD: self._make_seat(FIRST_SHARD)}
         self._wakes: dict[ShardId, IDelayedCall] = {}
@@ -185,7 +189,7 @@
         self.is_stopping = True
         self._send_heartbeats()
         for seat in self.seats.values():
-            seat.election.rest_until(math.inf)
+            seat.election.defer_claims_until(math.inf)
             seat.step_down(StepDownReason.PLANNED)
         self._send_heartbeats()
 
@@ -262,13 +266,15 @@
         for shard in layout.shards():
             if shard != FIRST_SHARD:
                 successors = choose_successors(shard, links)
-                self.seats[shard].election.set_members(successors)
+                self.seats[shard].election.set_successors(successors)
                 tell_successors(links, Members(shard, successors, len(links) + 1))
 
     def _set_pacing(self) -> None:
         """Have the seats keep to what the store takes from a cell of this size."""
         shard_count = self.layout.shard_count if self.layout is not None else 1
-        pacing = pace_calls(self.settings.store_budget, self._schedule.node_count, shard_count)
+        pacing = compute_store_pacing(
+            self.settings.store_budget, self._schedule.node_count, shard_count
+        )
         for seat in self.seats.values():
             seat.set_pacing(pacing)
 
@@ -284,10 +290,10 @@
             self._directory.of_shard(shard),
             self,
             self.metrics,
-            self._handicap,
+            self._load_delay_seconds,
         )
 
-    def _handicap(self) -> float:
+    def _load_delay_seconds(self) -> float:
         """Return how long to leave a shard to nodes that hold fewer."""
         return HELD_HANDICAP_SECONDS * len(self._held_shards())
 
@@ -331,7 +337,7 @@
                 self.router.handle_holder_lost(shard)
             return
         self._holders[shard] = claim
-        self.board.note_holder(shard, claim.token)
+        self.summary_cache.note_holder(shard, claim.token)
         self._schedule.note_claim_changed(shard, self._clock.now())
         self.router.handle_holder_found(shard, self._clock.now())
 
@@ -342,9 +348,9 @@
             self._holders.pop(shard, None)
             claim = self.seats[shard].held_claim
             if claim is not None:
-                self.board.note_holder(shard, claim.token)
+                self.summary_cache.note_holder(shard, claim.token)
             # Those who wait for their turn to claim hear it sooner than they would read it.
-            for member in self.seats[shard].election.members:
+            for member in self.seats[shard].election.successors:
                 self.connect_peer(member.host, member.port)
             self._note_peers_changed()
             self.router.handle_holder_found(shard, self._clock.now())
@@ -356,7 +362,7 @@
         if link is None:
             self.peers.connect(host, port)
 
-    def ask_advice(self, shard: ShardId, action: AskAdvice) -> None:
+    def ask_advice(self, shard: ShardId, action: RequestAdvice) -> None:
         """Have an entry ask the advice service."""
         self._advice.ask(shard, action)
 
@@ -390,9 +396,11 @@
         link.send(self.heartbeat(HEARTBEAT_SECONDS, is_first=True))
         self._note_peers_changed()
         assert link.identity is not None
-        logging.info("event=peer_up peer=%s life=%s", link.host, link.identity.life)
+        logging.info("event=peer_up peer=%s life=%s", link.host, link.identity.incarnation)
 
-    def handle_peer_lost(self, host: str, link: PeerLink | None, reason: LossReason) -> None:
+    def handle_peer_lost(
+        self, host: str, link: PeerLink | None, reason: ConnectionLossReason
+    ) -> None:
         """A stream ended, or none came about."""
         logging.info("event=peer_lost peer=%s reason=%s", host, reason.value)
         if link is not None:
@@ -438,7 +446,7 @@
             self.configurations.note_proof(now - PEER_PROOF_SECONDS)
         for shard, summary in message.summaries:
             if shard in self.seats:
-                self.board.take(shard, summary, now)
+                self.summary_cache.update(shard, summary, now)
         claims = dict(message.claims)
         for shard, seat in list(self.seats.items()):
             claim = claims.get(shard)
@@ -462,7 +470,7 @@
         if held:
             advisors = self._advice.advisors()
             for shard in held:
-                self.seats[shard].set_advisors(advisors)
+                self.seats[shard].set_advice_entries(advisors)
 
     def _take_members(self, _link: PeerLink, message: Members) -> None:
         if message.node_count != self._schedule.node_count:
@@ -470,7 +478,7 @@
             self._set_pacing()
         seat = self.seats.get(message.shard)
         if seat is not None:
-            seat.election.set_members(message.members)
+            seat.election.set_successors(message.members)
 
     # Time
 
@@ -533,8 +541,8 @@
         if self._store_watch.take_handover(now):
             for seat in self.seats.values():
                 if seat.is_holding:
-                    seat.election.rest_until(now + HANDOVER_PAUSE_SECONDS)
-                    seat.step_down(StepDownReason.STORE_AWAY)
+                    seat.election.defer_claims_until(now + HANDOVER_PAUSE_SECONDS)
+                    seat.step_down(StepDownReason.STORE_UNREACHABLE)
         if self._store_watch.nobody_reaches_store(now):
             for seat in self.seats.values():
                 seat.note_store_unreachable(now + UNREACHABLE_SECONDS)
@@ -550,7 +558,7 @@
             return
         if has_larger_peer(self.identity.weight, self.peers.up_links(), now):
             for seat in seats:
-                seat.election.rest_until(now + HANDOVER_PAUSE_SECONDS)
+                seat.election.defer_claims_until(now + HANDOVER_PAUSE_SECONDS)
                 seat.step_down(StepDownReason.LARGER_NODE)
 
     def _set_gauges(self) -> None:
@@ -562,7 +570,7 @@
             self._was_ready = is_ready
             logging.info("event=readiness ready=%d isolated=%d", is_ready, self.is_isolated)
         self.metrics.store.set(self.store.is_reachable)
-        self.metrics.jobs.set(sum(len(item.context.book.jobs) for item in held if item))
+        self.metrics.jobs.set(sum(len(item.context.job_registry.jobs) for item in held if item))
         self.metrics.runs.set(sum(item.context.table.run_count() for item in held if item))
 
     # Heartbeats
@@ -572,20 +580,22 @@
         self._send_heartbeats(self._schedule.select_due(self.peers.all_up_links(), now))
         links = self.peers.up_links()
         for message, receivers in self._succession.take_news(self._held_shards(), links):
-            self.seats[message.shard].election.set_members(message.members)
+            self.seats[message.shard].election.set_successors(message.members)
             tell_successors(receivers, message)
 
     def _send_heartbeats(self, links: list[PeerLink] | None = None) -> None:
         """Send heartbeats, by default on every stream, because one that is silent is ended."""
         now = self._clock.now()
         held = self._held_shards()
-        successors = {node.life for shard in held for node in self.seats[shard].election.members}
+        successors = {
+            node.incarnation for shard in held for node in self.seats[shard].election.successors
+        }
         receivers = self.peers.all_up_links() if links is None else links
         self._gather_summaries(now)
         encoded: dict[tuple[float, bool], bytes] = {}
         for link in receivers:
             assert link.identity is not None
-            interval = self._schedule.interval(bool(held), link.identity.life in successors)
+            interval = self._schedule.interval(bool(held), link.identity.incarnation in successors)
             summaries = self._admission_news.take_for(link, now)
             kind = (interval, bool(summaries))
             if kind not in encoded:
--- a/src/onyxspoke/node/operator_api.py
+++ b/src/onyxspoke/node/operator_api.py
@@ -18,7 +18,7 @@
 from twisted.internet.interfaces import IReactorTime
 from twisted.web.server import Request
 
-from onyxspoke.core.admission.verdict import is_for_load
+from onyxspoke.core.admission.verdict import is_load_refusal
 from onyxspoke.core.codes import OnyxspokeError, ResultCode
 from onyxspoke.core.jobs.model import JobId, JobSpec, Schedule, StepSpec
 from onyxspoke.core.jobs.validation import check_job
@@ -30,7 +30,7 @@
     ReplyCode,
     StateCall,
     SubmitCall,
-    WaitingCall,
+    WaitingCountCall,
 )
 from onyxspoke.core.shard.tenant_summary import TenantSummary, summarise_tenants
 from onyxspoke.net.bounded_http import BoundedSite, HttpLimits
@@ -176,7 +176,7 @@
     def handle_get(self, request: Request) -> None:
         """Count the waiting jobs of a queue."""
         [queue] = _path_parts(request, 1)
-        _submit(self._node, request, "", WaitingCall(queue), JobAnswer(queue=queue))
+        _submit(self._node, request, "", WaitingCountCall(queue), JobAnswer(queue=queue))
 
     def handle_post(self, request: Request) -> None:
         """Hand a job in."""
@@ -259,7 +259,7 @@
     tenants = [
         ShardTenant(shard=shard, **msgspec.structs.asdict(summary))
         for shard, scheduler in held.items()
-        for summary in summarise_tenants(scheduler.context, scheduler.quotas.part_of)
+        for summary in summarise_tenants(scheduler.context, scheduler.quotas.allocation_of)
     ]
     shard_count = node.layout.shard_count if node.layout is not None else 0
     return TenantsAnswer(held_shards=list(held), shard_count=shard_count, tenants=tenants)
@@ -275,7 +275,7 @@
         for worker in seat.scheduler.context.table.workers.values()
     ]
     return NodeStatus(
-        life=node.identity.life,
+        life=node.identity.incarnation,
         is_ready=node.is_ready,
         reaches_store=node.store.is_reachable,
         configuration_version=configuration.version if configuration is not None else 0,
@@ -292,9 +292,9 @@
     return ShardStatus(
         shard=shard,
         state=seat.election.state.value,
-        holder=claim.life if claim is not None else "",
+        holder=claim.incarnation if claim is not None else "",
         token=claim.token if claim is not None else 0,
-        jobs=len(scheduler.context.book.jobs) if scheduler is not None else 0,
+        jobs=len(scheduler.context.job_registry.jobs) if scheduler is not None else 0,
         runs=scheduler.context.table.run_count() if scheduler is not None else 0,
     )
 
@@ -365,7 +365,7 @@
         write_error(request, OnyxspokeError(ResultCode.NO_SUCH_JOB, f"no job {answer.job_id}"))
     elif reply.code is ReplyCode.REFUSED:
         set_retry_after(request, reply.retry_after_seconds)
-        is_load = is_for_load(reply.reason)
+        is_load = is_load_refusal(reply.reason)
         code = ResultCode.TOO_MUCH_WAITS if is_load else ResultCode.NO_HOLDER
         write_error(request, OnyxspokeError(code, reply.reason))
     else:
--- a/src/onyxspoke/node/order_exchange.py
+++ b/src/onyxspoke/node/order_exchange.py
@@ -39,9 +39,7 @@
             action,
             lambda result: self._feed(
                 scheduler,
-                lambda now: scheduler.stimulus_hold_result(
-                    action.address, action.number, result, now
-                ),
+                lambda now: scheduler.on_hold_result(action.address, action.number, result, now),
             ),
         )
 
@@ -51,9 +49,7 @@
             action,
             lambda result: self._feed(
                 scheduler,
-                lambda now: scheduler.stimulus_start_result(
-                    action.address, action.run, result, now
-                ),
+                lambda now: scheduler.on_start_result(action.address, action.run, result, now),
             ),
         )
 
@@ -63,7 +59,7 @@
             action,
             lambda result: self._feed(
                 scheduler,
-                lambda now: scheduler.stimulus_stop_result(action.address, action.run, result, now),
+                lambda now: scheduler.on_stop_result(action.address, action.run, result, now),
             ),
         )
 
@@ -72,7 +68,7 @@
         self._orders.pace(
             action,
             lambda result: self._feed(
-                scheduler, lambda now: scheduler.stimulus_pace_result(action, result, now)
+                scheduler, lambda now: scheduler.on_pace_result(action, result, now)
             ),
         )
 
--- a/src/onyxspoke/node/peers.py
+++ b/src/onyxspoke/node/peers.py
@@ -13,7 +13,7 @@
 from twisted.internet.protocol import Factory
 from twisted.python.failure import Failure
 
-from onyxspoke.core.shard.election_actions import LossReason, NodeIdentity
+from onyxspoke.core.shard.election_actions import ConnectionLossReason, NodeIdentity
 from onyxspoke.net.network import Network
 from onyxspoke.net.stream import MessageStream
 from onyxspoke.node.messages import Hello, NodeMessage
@@ -37,7 +37,9 @@
     def handle_peer_message(self, link: PeerLink, message: NodeMessage) -> None:
         """A peer sent a message."""
 
-    def handle_peer_lost(self, host: str, link: PeerLink | None, reason: LossReason) -> None:
+    def handle_peer_lost(
+        self, host: str, link: PeerLink | None, reason: ConnectionLossReason
+    ) -> None:
         """A stream ended, or none came about."""
 
 
@@ -167,7 +169,7 @@
         """End streams on which nothing was heard for too long."""
         for link in [*self.outgoing.values(), *self.incoming.values()]:
             if link.heard_at and now - max(link.heard_at, link.data_at) > link.silence_seconds:
-                self._forget(link, LossReason.SILENT)
+                self._forget(link, ConnectionLossReason.SILENT)
                 link.abort()
 
     def _build_incoming(self) -> _Stream:
@@ -178,7 +180,7 @@
             NodeMessage,
             lambda _stream, message: self._handle_message(link, message),
             lambda stream: self._handle_connected(link, stream),
-            lambda _stream: self._forget(link, LossReason.CLOSED),
+            lambda _stream: self._forget(link, ConnectionLossReason.CLOSED),
             on_data=lambda: self._note_data(link),
         )
 
@@ -212,14 +214,14 @@
 
     def _handle_failed(self, link: PeerLink, failure: Failure) -> None:
         if failure.check(RefusedError):
-            reason = LossReason.REFUSED
+            reason = ConnectionLossReason.REFUSED
         elif failure.check(ConnectTimeoutError):
-            reason = LossReason.SILENT
+            reason = ConnectionLossReason.SILENT
         else:
-            reason = LossReason.CLOSED
+            reason = ConnectionLossReason.CLOSED
         self._forget(link, reason)
 
-    def _forget(self, link: PeerLink, reason: LossReason) -> None:
+    def _forget(self, link: PeerLink, reason: ConnectionLossReason) -> None:
         links = self.outgoing if link.is_outgoing else self.incoming
         if links.get(link.host) is link:
             del links[link.host]
--- a/src/onyxspoke/node/seat.py
+++ b/src/onyxspoke/node/seat.py
@@ -10,16 +10,16 @@
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.placement.worker_record import UnusableEntry, WorkerRecord
 from onyxspoke.core.shard.actions import (
-    AdviceAsked,
-    AskAdvice,
-    AskQuota,
+    AdviceRequested,
     CallerReturned,
-    Decision,
+    DecisionLogLine,
     DropWorkerConnections,
-    JobBegun,
     JobEnded,
+    JobStarted,
     LayoutKnown,
     ReplyToCall,
+    RequestAdvice,
+    RequestQuota,
     SendAppend,
     SendHold,
     SendPace,
@@ -35,7 +35,7 @@
 from onyxspoke.core.shard.election_actions import (
     BecomeHolder,
     ConnectToHolder,
-    ElectionNote,
+    ElectionLogLine,
     ElectionState,
     HolderChanged,
     NodeIdentity,
@@ -48,7 +48,7 @@
     CLAIM_KEY,
     AppendResult,
     ClaimRecord,
-    NewestPage,
+    LatestRecordsPage,
     ShardId,
     ShardRecord,
     decode_claim,
@@ -85,7 +85,7 @@
     def connect_peer(self, host: str, port: int) -> None:
         """Have a stream to a node."""
 
-    def ask_advice(self, shard: ShardId, action: AskAdvice) -> None:
+    def ask_advice(self, shard: ShardId, action: RequestAdvice) -> None:
         """Have an entry ask the advice service."""
 
     def ask_quota(self, home: ShardId, call: QuotaCall, on_reply: OnReply) -> None:
@@ -122,7 +122,7 @@
         The node.
     metrics : NodeMetrics
         Counts decisions.
-    handicap : callable
+    load_delay_seconds : callable
         Returns for how many seconds this node leaves a shard that nobody holds to others.
     """
 
@@ -138,7 +138,7 @@
         directory: WorkerDirectoryPort,
         listener: SeatListener,
         metrics: NodeMetrics,
-        handicap: Callable[[], float],
+        load_delay_seconds: Callable[[], float],
     ) -> None:
         self.shard = shard
         self._metrics = metrics
@@ -147,13 +147,13 @@
         self._store = store
         self._directory = directory
         self._listener = listener
-        self.election = Election(shard, identity, draw, clock.now(), handicap)
+        self.election = Election(shard, identity, draw, clock.now(), load_delay_seconds)
         self.scheduler: ShardScheduler | None = None
         self._policy = PolicySet()
         self._pacing = StorePacing()
         self._shard_count = 1
         self._gathered: list[ShardRecord] = []
-        self._former_token = 0
+        self._previous_token = 0
         self._replies: dict[int, OnReply] = {}
         self._last_call_id = 0
         self._is_ready = False
@@ -162,20 +162,20 @@
         self.held_since = 0.0
         exchange = OrderExchange(orders, self._feed)
         self._handlers: dict[type[ShardAction], Callable[[ShardScheduler, Any], None]] = {
-            Decision: lambda _scheduler, action: self._log_decision(action),
+            DecisionLogLine: lambda _scheduler, action: self._log_decision(action),
             SendHold: exchange.hold,
             SendStart: exchange.start,
             SendStop: exchange.stop,
             SendPace: exchange.pace,
             SendAppend: self._send_append,
-            AskAdvice: lambda _scheduler, action: listener.ask_advice(shard, action),
-            AskQuota: self._ask_quota,
+            RequestAdvice: lambda _scheduler, action: listener.ask_advice(shard, action),
+            RequestQuota: self._ask_quota,
             ReplyToCall: self._reply,
             LayoutKnown: lambda _scheduler, action: listener.handle_layout(action.layout),
-            JobBegun: lambda _scheduler, action: metrics.note_begun(action),
+            JobStarted: lambda _scheduler, action: metrics.note_begun(action),
             JobEnded: lambda _scheduler, action: metrics.note_ended(action),
             CallerReturned: lambda _scheduler, action: metrics.load.note_returned(action),
-            AdviceAsked: lambda _scheduler, action: metrics.load.note_advice_asked(action),
+            AdviceRequested: lambda _scheduler, action: metrics.load.note_advice_asked(action),
             DropWorkerConnections: exchange.drop,
             StepDown: lambda _scheduler, action: self.step_down(action.reason),
         }
@@ -203,7 +203,7 @@
         """Take the operator's configuration."""
         self._policy = policy
         if self.scheduler is not None:
-            self.scheduler.stimulus_policy(policy, self._clock.now())
+            self.scheduler.on_policy(policy, self._clock.now())
             self._wake()
 
     def set_pacing(self, pacing: StorePacing) -> None:
@@ -211,29 +211,29 @@
         self._pacing = pacing
         self.election.set_pacing(pacing)
         if self.scheduler is not None:
-            self.scheduler.set_commit_interval(pacing.commit_seconds)
+            self.scheduler.set_commit_interval(pacing.commit_interval_seconds)
 
     def set_shard_count(self, count: int) -> None:
         """Take how many shards the cell has."""
         self._shard_count = count
         if self.scheduler is not None:
-            self.scheduler.stimulus_shard_count(count)
+            self.scheduler.on_shard_count(count)
 
-    def set_advisors(self, names: list[str]) -> None:
+    def set_advice_entries(self, names: list[str]) -> None:
         """Take the entries that can carry calls for advice."""
         if self.scheduler is not None:
-            self.scheduler.stimulus_advisors(names, self._clock.now())
+            self.scheduler.on_advisors(names, self._clock.now())
 
     def plan_layout(self, layout: CellLayout) -> None:
         """Have the layout of a new cell written, while this node holds its first shard."""
         if self.scheduler is not None and self._is_ready:
-            self.scheduler.stimulus_layout(layout)
+            self.scheduler.on_layout(layout)
             self._wake()
 
     def note_store_unreachable(self, until: float) -> None:
         """No node reaches the store, so that nobody can claim the shard until then."""
         if self.scheduler is not None:
-            self.scheduler.stimulus_store_unreachable(until)
+            self.scheduler.on_store_unreachable(until)
 
     def handle_call(self, call: Call, on_reply: OnReply) -> None:
         """Take a client's call; ``on_reply`` may never be called if the shard is lost."""
@@ -242,18 +242,18 @@
             return
         self._last_call_id += 1
         self._replies[self._last_call_id] = on_reply
-        self.scheduler.stimulus_call(self._last_call_id, call, self._clock.now())
+        self.scheduler.on_call(self._last_call_id, call, self._clock.now())
         self._wake()
 
     def handle_advice_result(self, call_id: int, result: AdviceResult) -> None:
         """The advice service answered, or did not."""
         if self.scheduler is not None:
-            self.scheduler.stimulus_advice_result(call_id, result, self._clock.now())
+            self.scheduler.on_advice_result(call_id, result, self._clock.now())
             self._wake()
 
     def is_quiet(self, now: float) -> bool:
         """Return whether the passing of time changes nothing here."""
-        return self.scheduler is None and self.election.is_quiet(now)
+        return self.scheduler is None and self.election.is_idle(now)
 
     def tick(self, wall_ms: float) -> None:
         """Some time has passed."""
@@ -261,7 +261,7 @@
         self.election.tick(now)
         self.carry_out_election()
         if self.scheduler is not None and self._is_ready:
-            self.scheduler.stimulus_tick(now, wall_ms)
+            self.scheduler.on_tick(now, wall_ms)
             self.flush()
 
     def flush(self) -> None:
@@ -273,7 +273,7 @@
             self._carry_out(action)
             if self.scheduler is not scheduler:
                 return
-        moment = scheduler.next_moment()
+        moment = scheduler.next_wakeup_at()
         if moment is not None:
             self._listener.wake(self.shard, max(0.0, moment - self._clock.now()))
 
@@ -309,7 +309,7 @@
             else:
                 self._log_note(action)
 
-    def _take_claim_page(self, page: NewestPage) -> None:
+    def _take_claim_page(self, page: LatestRecordsPage) -> None:
         claim = next(
             (decode_claim(item.value) for item in page.records if item.key == CLAIM_KEY), None
         )
@@ -323,7 +323,7 @@
         self.election.handle_append_result(result, self._clock.now())
         self.carry_out_election()
 
-    def _log_note(self, note: ElectionNote) -> None:
+    def _log_note(self, note: ElectionLogLine) -> None:
         logging.info(
             "event=election shard=%d state=%s reason=%s token=%d",
             self.shard,
@@ -340,16 +340,16 @@
             action.claim,
             action.next_sequence,
             action.claimed_at,
-            action.store_seconds,
+            action.claim_call_seconds,
             self._options,
         )
-        scheduler.set_commit_interval(self._pacing.commit_seconds)
-        scheduler.stimulus_shard_count(self._shard_count)
-        if action.former_dead_since is not None:
-            scheduler.former_holder_is_dead(action.former_dead_since)
+        scheduler.set_commit_interval(self._pacing.commit_interval_seconds)
+        scheduler.on_shard_count(self._shard_count)
+        if action.previous_holder_dead_since is not None:
+            scheduler.handle_previous_holder_dead(action.previous_holder_dead_since)
         self.scheduler = scheduler
         self._gathered = []
-        self._former_token = action.former_token
+        self._previous_token = action.previous_token
         self._read_state(scheduler, "")
 
     def _read_state(self, scheduler: ShardScheduler, after_key: str) -> None:
@@ -358,7 +358,9 @@
                 self.shard, after_key, lambda page: self._take_state(scheduler, after_key, page)
             )
 
-    def _take_state(self, scheduler: ShardScheduler, after_key: str, page: NewestPage) -> None:
+    def _take_state(
+        self, scheduler: ShardScheduler, after_key: str, page: LatestRecordsPage
+    ) -> None:
         if self.scheduler is not scheduler:
             return
         if not page.is_known:
@@ -380,16 +382,18 @@
         for record in records:
             if record.key == CLAIM_KEY:
                 claim = decode_claim(record.value)
-                return claim is not None and ours is not None and claim.life == ours.life
+                return (
+                    claim is not None and ours is not None and claim.incarnation == ours.incarnation
+                )
         return False
 
     def _finish_takeover(self, scheduler: ShardScheduler, records: list[ShardRecord]) -> None:
         now = self._clock.now()
         self._is_ready = True
         self.held_since = now
-        scheduler.stimulus_policy(self._policy, now)
+        scheduler.on_policy(self._policy, now)
         wall_ms = self._listener.time_of_day_ms()
-        for action in scheduler.recover(records, self._former_token, now, wall_ms):
+        for action in scheduler.recover(records, self._previous_token, now, wall_ms):
             self._carry_out(action)
         self._directory.watch(self)
         self._listener.handle_holding(self.shard, True)
@@ -402,13 +406,13 @@
     ) -> None:
         """The directory lists these workers."""
         if self.scheduler is not None:
-            self.scheduler.stimulus_workers_listed(records, unusable, is_whole, self._clock.now())
+            self.scheduler.on_workers_listed(records, unusable, is_whole, self._clock.now())
             self._wake()
 
     def handle_worker_unlisted(self, worker_id: str) -> None:
         """The directory lists a worker no longer."""
         if self.scheduler is not None:
-            self.scheduler.stimulus_worker_unlisted(worker_id, self._clock.now())
+            self.scheduler.on_worker_unlisted(worker_id, self._clock.now())
             self._wake()
 
     # Actions
@@ -420,10 +424,10 @@
         handler = self._handlers[type(action)]
         handler(scheduler, action)
 
-    def _ask_quota(self, scheduler: ShardScheduler, action: AskQuota) -> None:
+    def _ask_quota(self, scheduler: ShardScheduler, action: RequestQuota) -> None:
         def take(reply: CallReply) -> None:
             if self.scheduler is scheduler:
-                scheduler.stimulus_quota_reply(action.request, reply, self._clock.now())
+                scheduler.on_quota_reply(action.request, reply, self._clock.now())
                 self._wake()
 
         self._listener.ask_quota(action.home, QuotaCall(action.request), take)
@@ -433,7 +437,7 @@
         if on_reply is not None:
             on_reply(action.reply)
 
-    def _log_decision(self, decision: Decision) -> None:
+    def _log_decision(self, decision: DecisionLogLine) -> None:
         self._metrics.decisions.labels(decision.event).inc()
         fields = " ".join(f"{name}={value}" for name, value in decision.fields)
         logging.info("event=%s shard=%d %s", decision.event, self.shard, fields)
@@ -444,10 +448,10 @@
         def take(result: AppendResult) -> None:
             self._feed(
                 scheduler,
-                lambda now: scheduler.stimulus_append_result(sequence, sent_at, result, now),
+                lambda now: scheduler.on_append_result(sequence, sent_at, result, now),
             )
 
-        self._store.append(action.append, action.patience_seconds, take)
+        self._store.append(action.append, action.answer_timeout_seconds, take)
 
     def _feed(self, scheduler: ShardScheduler, stimulus: Callable[[float], None]) -> None:
         """Give an answer to the scheduler that asked, if it is still the one."""
--- a/src/onyxspoke/node/settings.py
+++ b/src/onyxspoke/node/settings.py
@@ -47,9 +47,9 @@
         Bounds of the platform for a shard's holder.
     weight : float
         Processor share; larger nodes are to hold shards.
-    workers_a_shard : int
+    workers_per_shard : int
         A new cell gets so many shards that each has about so many workers at most.
-    most_shards : int
+    maximum_shards : int
         Partitions that the store gives us.
     layout_settle_seconds : float
         A new cell is laid out once no further worker has been listed for so long.
@@ -71,8 +71,8 @@
     stop_grace_seconds: float = 6.0
     shard_options: ShardOptions = ShardOptions()
     weight: float = 1.0
-    workers_a_shard: int = 400
-    most_shards: int = 24
+    workers_per_shard: int = 400
+    maximum_shards: int = 24
     layout_settle_seconds: float = 0.4
     store_budget: StoreBudget = StoreBudget()
     key_trust_seconds: float = 9.0
--- a/src/onyxspoke/node/store_gateway.py
+++ b/src/onyxspoke/node/store_gateway.py
@@ -16,7 +16,7 @@
 from onyxspoke.core.shard.log_records import (
     AppendOutcome,
     AppendResult,
-    NewestPage,
+    LatestRecordsPage,
     ShardAppend,
     ShardId,
 )
@@ -46,7 +46,7 @@
 PROMPT_SECONDS = 0.18
 
 OnAppend = Callable[[AppendResult], None]
-OnPage = Callable[[NewestPage], None]
+OnPage = Callable[[LatestRecordsPage], None]
 
 
 class _Relay:
@@ -140,7 +140,7 @@
     def serve_read(self, link: PeerLink, message: NewestRelay) -> None:
         """Make a read for a peer."""
 
-        def answer(page: NewestPage) -> None:
+        def answer(page: LatestRecordsPage) -> None:
             self._note(page.is_known)
             link.send(NewestRelayAnswer(message.relay_id, page))
 
@@ -171,7 +171,7 @@
             if relay.on_append is not None:
                 relay.on_append(AppendResult(AppendOutcome.UNKNOWN))
             elif relay.on_page is not None:
-                relay.on_page(NewestPage(is_known=False))
+                relay.on_page(LatestRecordsPage(is_known=False))
 
     def _take_append(
         self, append: ShardAppend, sent_at: float, result: AppendResult, on_result: OnAppend
@@ -187,7 +187,9 @@
         elif not self._relay_append(append, on_result):
             on_result(result)
 
-    def _take_page(self, shard: ShardId, after_key: str, page: NewestPage, on_page: OnPage) -> None:
+    def _take_page(
+        self, shard: ShardId, after_key: str, page: LatestRecordsPage, on_page: OnPage
+    ) -> None:
         self._note(page.is_known)
         if page.is_known or not self._relay_read(shard, after_key, on_page):
             on_page(page)
--- a/src/onyxspoke/node/succession.py
+++ b/src/onyxspoke/node/succession.py
@@ -28,7 +28,7 @@
 
 
 def _draw(shard: ShardId, node: NodeIdentity) -> int:
-    return zlib.crc32(f"{shard}/{node.life}".encode())
+    return zlib.crc32(f"{shard}/{node.incarnation}".encode())
 
 
 class Succession:
@@ -58,11 +58,13 @@
         members = choose_successors(shard, links)
         node_count = len(links) + 1
         told = self._told.get(shard)
-        lives = {link.identity.life for link in links if link.identity is not None}
+        lives = {link.identity.incarnation for link in links if link.identity is not None}
         if told is None or told.is_outdated(members, node_count):
             self._told[shard] = _Told(members, node_count, lives)
             return Members(shard, members, node_count), links
-        new = [link for link in links if link.identity and link.identity.life not in told.lives]
+        new = [
+            link for link in links if link.identity and link.identity.incarnation not in told.lives
+        ]
         told.lives = lives
         return (Members(shard, members, node_count), new) if new else None
 
--- a/src/onyxspoke/platform/counterpart/orders.py
+++ b/src/onyxspoke/platform/counterpart/orders.py
@@ -23,7 +23,7 @@
     OrderOutcome.FENCED: "fence",
     OrderOutcome.STALE: "old",
     OrderOutcome.EXPIRED: "late",
-    OrderOutcome.NO_ROOM: "room",
+    OrderOutcome.INSUFFICIENT_CAPACITY: "room",
     OrderOutcome.NO_TICKET: "ticket",
 }
 
@@ -83,7 +83,7 @@
     reason = _REASONS.get(outcome)
     if reason is not None:
         return Answer({"clockMs": clock_ms, "reason": reason}, HTTP_CONFLICT)
-    if outcome is OrderOutcome.OTHER_LIFE:
+    if outcome is OrderOutcome.OTHER_INCARNATION:
         return Answer({}, HTTP_OTHER_LIFE)
     if outcome is OrderOutcome.NO_ANSWER:
         return None
--- a/src/onyxspoke/platform/counterpart/store.py
+++ b/src/onyxspoke/platform/counterpart/store.py
@@ -4,7 +4,7 @@
 
 import base64
 
-from onyxspoke.core.shard.log_records import AppendOutcome, AppendResult, NewestPage
+from onyxspoke.core.shard.log_records import AppendOutcome, AppendResult, LatestRecordsPage
 from onyxspoke.platform.counterpart.answers import (
     HTTP_BAD_REQUEST,
     HTTP_CONFLICT,
@@ -29,7 +29,7 @@
     """Return the answer to an append; None where its outcome is not known."""
     if result.outcome is AppendOutcome.DONE:
         return Answer({"offset": result.offset, "end": result.end})
-    if result.outcome is AppendOutcome.MOVED:
+    if result.outcome is AppendOutcome.END_MOVED:
         return Answer({"end": result.end}, HTTP_MOVED)
     if result.outcome is AppendOutcome.FENCED:
         return Answer({"reason": "fenced"}, HTTP_CONFLICT)
@@ -42,7 +42,7 @@
     return None
 
 
-def encode_page(page: NewestPage) -> Answer:
+def encode_page(page: LatestRecordsPage) -> Answer:
     """Return the answer that holds the newest records."""
     items = [
         {"privateKey": record.key, "value": base64.b64encode(record.value).decode(), "offset": 0}
--- a/src/onyxspoke/platform/feeds.py
+++ b/src/onyxspoke/platform/feeds.py
@@ -7,7 +7,7 @@
 from absl import logging
 from twisted.internet.interfaces import IReactorTime
 
-from onyxspoke.core.shard.log_records import NewestPage, ShardRecord
+from onyxspoke.core.shard.log_records import LatestRecordsPage, ShardRecord
 from onyxspoke.platform.store import StoreClient, TailAnswer
 
 RETRY_SECONDS = 0.25
@@ -83,7 +83,7 @@
             else:
                 report(answer.is_known, answer.records)
 
-        def take_page(page: NewestPage) -> None:
+        def take_page(page: LatestRecordsPage) -> None:
             report(page.is_known and not page.has_more, page.records)
 
         def report(is_known: bool, records: list[ShardRecord]) -> None:
@@ -106,7 +106,7 @@
             self._topic, 0, after_key, lambda page: self._take_page(generation, page)
         )
 
-    def _take_page(self, generation: int, page: NewestPage) -> None:
+    def _take_page(self, generation: int, page: LatestRecordsPage) -> None:
         if generation != self._generation:
             return
         self._note_reachable(page.is_known)
--- a/src/onyxspoke/platform/ingress.py
+++ b/src/onyxspoke/platform/ingress.py
@@ -7,7 +7,7 @@
 import msgspec
 from twisted.web.server import NOT_DONE_YET, Request
 
-from onyxspoke.core.admission.verdict import is_for_load
+from onyxspoke.core.admission.verdict import is_load_refusal
 from onyxspoke.core.codes import OnyxspokeError, ResultCode
 from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, Schedule, StepSpec
 from onyxspoke.core.jobs.validation import check_job
@@ -19,7 +19,7 @@
     ReplyCode,
     StateCall,
     SubmitCall,
-    WaitingCall,
+    WaitingCountCall,
 )
 from onyxspoke.core.tenants.keys import Credential, KeyVerdict
 from onyxspoke.core.tenants.policy import TenantName
@@ -151,7 +151,7 @@
     def _read_call(self, request: Request, route: RouteEntry, name: str) -> Call:
         method = request.method
         if method == b"GET":
-            return StateCall(name) if name else WaitingCall(route.queue)
+            return StateCall(name) if name else WaitingCountCall(route.queue)
         if not name:
             raise OnyxspokeError(ResultCode.METHOD_NOT_ALLOWED)
         if method == b"DELETE":
@@ -183,7 +183,7 @@
         elif reply.code is ReplyCode.NO_SUCH_JOB:
             write_json(request, _EMPTY, _GONE)
         elif reply.code is ReplyCode.REFUSED:
-            status = _TOO_MANY if is_for_load(reply.reason) else _UNAVAILABLE
+            status = _TOO_MANY if is_load_refusal(reply.reason) else _UNAVAILABLE
             _write_later(request, reply.retry_after_seconds, status)
         else:
             _write_later(request, reply.retry_after_seconds, _GATEWAY_TIMEOUT)
@@ -199,7 +199,7 @@
     def _body(self, reply: CallReply) -> msgspec.Struct:
         if isinstance(self._call, StateCall):
             return _StateAnswer(reply.state)
-        if isinstance(self._call, WaitingCall):
+        if isinstance(self._call, WaitingCountCall):
             return _WaitingAnswer(reply.waiting)
         return _EMPTY
 
@@ -211,7 +211,7 @@
     """Return a call as one of the tenant whose key came with it."""
     if isinstance(call, SubmitCall):
         return SubmitCall(msgspec.structs.replace(call.job, tenant=tenant))
-    if isinstance(call, WaitingCall):
+    if isinstance(call, WaitingCountCall):
         return call
     return msgspec.structs.replace(call, tenant=tenant)
 
--- a/src/onyxspoke/platform/settings.py
+++ b/src/onyxspoke/platform/settings.py
@@ -95,7 +95,7 @@
         shard_options=_read_options(reader),
         weight=reader.fraction_or("limits.cpuShare", 0.0, 1_000.0, DEFAULT_CPU_SHARE)
         * reader.whole_or("limits.cores", 1, 1_000, DEFAULT_CORES),
-        most_shards=reader.whole("platform.parts", 1, 1_000_000),
+        maximum_shards=reader.whole("platform.parts", 1, 1_000_000),
         layout_settle_seconds=heartbeat_ms / _MILLISECONDS,
         key_trust_seconds=_read_key_trust(reader),
         store_budget=StoreBudget(
@@ -124,7 +124,7 @@
     return ShardOptions(
         maximum_hold_ms=reader.whole("bounds.maxHoldMs", 100, 3_600_000),
         stop_grace_ms=reader.whole("bounds.stopGraceMs", 0, 600_000),
-        status_seconds=reader.fraction("bounds.status_s", 0.0, 1e6),
+        finished_job_retention_seconds=reader.fraction("bounds.status_s", 0.0, 1e6),
         load=_read_load_options(reader),
     )
 
--- a/src/onyxspoke/platform/store.py
+++ b/src/onyxspoke/platform/store.py
@@ -11,7 +11,7 @@
 from onyxspoke.core.shard.log_records import (
     AppendOutcome,
     AppendResult,
-    NewestPage,
+    LatestRecordsPage,
     ShardAppend,
     ShardId,
     ShardRecord,
@@ -105,13 +105,13 @@
         self._call(request, patience_seconds, lambda answer: on_result(read_append(answer)), "w")
 
     def read_newest(
-        self, shard: ShardId, after_key: str, on_page: Callable[[NewestPage], None]
+        self, shard: ShardId, after_key: str, on_page: Callable[[LatestRecordsPage], None]
     ) -> None:
         """Read the newest records of a shard's keys behind one."""
         self.read_newest_of(SHARD_TOPIC, shard, after_key, on_page)
 
     def read_newest_of(
-        self, topic: str, part: int, after_key: str, on_page: Callable[[NewestPage], None]
+        self, topic: str, part: int, after_key: str, on_page: Callable[[LatestRecordsPage], None]
     ) -> None:
         """Read the newest records of a topic's keys behind one."""
         target = f"/onyxspoke/log-newest?topic={topic}&part={part}"
@@ -189,7 +189,7 @@
     if answer.status == _HTTP_OK:
         return AppendResult(AppendOutcome.DONE, body.offset, body.end)
     if answer.status == _HTTP_MOVED:
-        return AppendResult(AppendOutcome.MOVED, end=body.end)
+        return AppendResult(AppendOutcome.END_MOVED, end=body.end)
     if answer.status == _HTTP_CONFLICT:
         is_fenced = body.reason == "fenced"
         outcome = AppendOutcome.FENCED if is_fenced else AppendOutcome.OUT_OF_SEQUENCE
@@ -197,16 +197,16 @@
     return AppendResult(AppendOutcome.INVALID)
 
 
-def read_page(answer: HttpAnswer) -> NewestPage:
+def read_page(answer: HttpAnswer) -> LatestRecordsPage:
     """Return the newest records in an answer."""
     if answer.status != _HTTP_OK:
-        return NewestPage(is_known=False)
+        return LatestRecordsPage(is_known=False)
     try:
         body = _newest_decoder.decode(answer.body)
     except UNREADABLE_ERRORS:
-        return NewestPage(is_known=False)
+        return LatestRecordsPage(is_known=False)
     records = [ShardRecord(item.key, _read_value(item.value)) for item in body.items]
-    return NewestPage(is_known=True, records=records, has_more=body.more, end=body.end)
+    return LatestRecordsPage(is_known=True, records=records, has_more=body.more, end=body.end)
 
 
 def _read_value(text: str) -> bytes:
--- a/src/onyxspoke/platform/workers.py
+++ b/src/onyxspoke/platform/workers.py
@@ -42,7 +42,7 @@
     "fence": OrderOutcome.FENCED,
     "old": OrderOutcome.STALE,
     "late": OrderOutcome.EXPIRED,
-    "room": OrderOutcome.NO_ROOM,
+    "room": OrderOutcome.INSUFFICIENT_CAPACITY,
     "ticket": OrderOutcome.NO_TICKET,
 }
 _FIRST_COLUMNS = 4
@@ -109,7 +109,7 @@
 
     def hold(self, order: SendHold, on_result: Callable[[HoldResult], None]) -> None:
         """Fence, extend and look."""
-        body = _HoldBody(order.token, order.last_seen, order.until_ms, order.wait_ms)
+        body = _HoldBody(order.token, order.acknowledged_through, order.until_ms, order.wait_ms)
         timeout = order.wait_ms / _MILLISECONDS + HOLD_SLACK_SECONDS
         lane = "wait" if order.wait_ms else "look"
         self._send(
@@ -119,7 +119,7 @@
             timeout,
             lambda answer: on_result(read_hold(answer, order.address.born_ms)),
             lane,
-            _meant_for(order.address, order.token, is_harmless=order.last_seen == 0),
+            _meant_for(order.address, order.token, is_harmless=order.acknowledged_through == 0),
         )
 
     def start(self, order: SendStart, on_result: Callable[[OrderResult], None]) -> None:
@@ -246,7 +246,7 @@
         return HoldResult(outcome, born_ms=answer.other_process)
     result = _read_lists(answer)
     if born_ms and result.born_ms and result.born_ms != born_ms:
-        return HoldResult(OrderOutcome.OTHER_LIFE, born_ms=result.born_ms)
+        return HoldResult(OrderOutcome.OTHER_INCARNATION, born_ms=result.born_ms)
     return result
 
 
@@ -270,11 +270,11 @@
 
 def _outcome_without_body(answer: HttpAnswer) -> OrderOutcome | None:
     if answer.other_process:
-        return OrderOutcome.OTHER_LIFE
+        return OrderOutcome.OTHER_INCARNATION
     if answer.status == 0:
         return OrderOutcome.NO_ANSWER if answer.was_sent else OrderOutcome.NOT_SENT
     if answer.status == _HTTP_OTHER_LIFE:
-        return OrderOutcome.OTHER_LIFE
+        return OrderOutcome.OTHER_INCARNATION
     if answer.status in _HTTP_UNHEALTHY:
         return OrderOutcome.UNHEALTHY
     if answer.status == _HTTP_INVALID:
--- a/src/onyxspoke/ports/shard_log.py
+++ b/src/onyxspoke/ports/shard_log.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from onyxspoke.core.shard.log_records import AppendResult, NewestPage, ShardAppend, ShardId
+from onyxspoke.core.shard.log_records import AppendResult, LatestRecordsPage, ShardAppend, ShardId
 
 
 class ShardLogPort(Protocol):
@@ -23,6 +23,6 @@
         """
 
     def read_newest(
-        self, shard: ShardId, after_key: str, on_page: Callable[[NewestPage], None]
+        self, shard: ShardId, after_key: str, on_page: Callable[[LatestRecordsPage], None]
     ) -> None:
         """Read the newest records of the keys behind one, in order of keys."""
--- a/src/onyxspoke/ports/worker_orders.py
+++ b/src/onyxspoke/ports/worker_orders.py
@@ -19,7 +19,8 @@
     """Orders to workers.
 
     An order reaches the life of a worker that its address names, and no other one of that name.
-    Where another one answers, the outcome is ``OTHER_LIFE``, for a hold with that one's birth.
+    Where another one answers, the outcome is ``OTHER_INCARNATION``, for a hold with that one's
+    birth.
     """
 
     def hold(self, order: SendHold, on_result: Callable[[HoldResult], None]) -> None:
--- a/src/onyxspoke/sim/explore_jobs.py
+++ b/src/onyxspoke/sim/explore_jobs.py
@@ -106,7 +106,7 @@
     if shards > 1:
         # Every shard gets a rack, whose workers are alike.
         options.workers = shards * WORKERS_A_SHARD
-        options.workers_a_shard = options.rack_size = WORKERS_A_SHARD
+        options.workers_per_shard = options.rack_size = WORKERS_A_SHARD
         options.kinds = "a"
         options.always_good = ("w",)
     return options
--- a/src/onyxspoke/sim/job_cluster.py
+++ b/src/onyxspoke/sim/job_cluster.py
@@ -74,7 +74,7 @@
     work: WorkOptions | None = None
     rack_size: int = 4
     kinds: str = "ab"
-    workers_a_shard: int = 400
+    workers_per_shard: int = 400
     store_budget: StoreBudget = field(default_factory=StoreBudget)
     always_good: tuple[str, ...] = ALWAYS_GOOD
     large_nodes: int = 0
@@ -194,7 +194,7 @@
         path = SimulatedPath(self, process, host)
         is_large = int(name.rpartition("-")[2]) < options.large_nodes
         weight = LARGE_WEIGHT if is_large else 1.0
-        identity = NodeIdentity(life=process.name, host=host, port=PEER_PORT, weight=weight)
+        identity = NodeIdentity(incarnation=process.name, host=host, port=PEER_PORT, weight=weight)
         ports = NodePorts(
             store=FakeStoreClient(self.store, name, path),
             orders=FakeWorkerOrders(self.pool, name, path),
@@ -408,6 +408,6 @@
         metrics_port=PEER_PORT + 1,
         operator_port=PEER_PORT + 2,
         shard_options=ShardOptions(stop_grace_ms=200, load=options.load),
-        workers_a_shard=options.workers_a_shard,
+        workers_per_shard=options.workers_per_shard,
         store_budget=options.store_budget,
     )
--- a/src/onyxspoke/soak/store_server.py
+++ b/src/onyxspoke/soak/store_server.py
@@ -9,7 +9,7 @@
 
 from onyxspoke.core.shard.log_records import (
     AppendResult,
-    NewestPage,
+    LatestRecordsPage,
     ShardAppend,
     ShardRecord,
 )
@@ -109,7 +109,7 @@
     def _read_newest(self, exchange: Exchange, topic: str, part: int) -> None:
         after_key = exchange.query(AFTER_KEY)
 
-        def answer(page: NewestPage) -> None:
+        def answer(page: LatestRecordsPage) -> None:
             if page.is_known:
                 exchange.send(encode_page(page))
             elif not self._faults.is_down:
