--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -250,7 +250,7 @@
         run = Run(task, number + 1, context.worker, moment)
         run.move_to(RunState.STARTING)
         run.ordered_at = moment
-        if moment < context.worker.heard_at:
+        if moment < context.worker.last_answer_at:
             run.move_to(RunState.RUNNING)
             run.confirmed_at = moment
         context.worker.add(run)
--- a/features/steps/estimates_shop.py
+++ b/features/steps/estimates_shop.py
@@ -122,7 +122,7 @@
             self.keep()
 
     def keep(self) -> None:
-        self.keeper.keep(self.now)
+        self.keeper.tick(self.now)
         told = [item for item in self.context.actions if isinstance(item, DecisionLogLine)]
         self.told += told
         self.most_told = max(self.most_told, len(told))
--- a/features/steps/job_promise_steps.py
+++ b/features/steps/job_promise_steps.py
@@ -139,7 +139,7 @@
 @contextmanager
 def _without_commit_before_noting() -> Iterator[None]:
     def note_at_once(keeper: WorkerManager, worker: Worker, now: float) -> None:
-        worker.told_through = worker.seen_through
+        worker.acknowledged_through = worker.processed_through
         worker.next_hold_at = now + 0.03
 
     with mock.patch.object(WorkerManager, "_after_answer", note_at_once):
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -67,14 +67,14 @@
 
 def _went_down_at_unknown_moment(worker: Worker, now: float) -> bool:
     was_lost = worker.was_unanswered and not worker.was_refused
-    return was_lost and now - worker.heard_at > KNOWN_MOMENT_SECONDS
+    return was_lost and now - worker.last_answer_at > KNOWN_MOMENT_SECONDS
 
 
 def _had_just_begun(run: Run, worker: Worker) -> bool:
     has_survived = run.listed_at - run.ordered_at >= SURVIVED_SECONDS
     if _has_stopped(run) or has_survived or not run.ordered_at:
         return False
-    return run.ordered_at >= worker.heard_at - RECENT_START_SECONDS
+    return run.ordered_at >= worker.last_answer_at - RECENT_START_SECONDS
 
 
 def _has_stopped(run: Run) -> bool:
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -58,7 +58,7 @@
     run = task.run
     if run is None or not run.confirmed_at or run.ordered_at <= crashed_at:
         return False
-    return run.worker.heard_at > run.ordered_at + RECENT_START_SECONDS
+    return run.worker.last_answer_at > run.ordered_at + RECENT_START_SECONDS
 
 
 def begins_apart(task: TaskProgress, step_is_on_trial: bool) -> bool:
@@ -103,5 +103,5 @@
     """Return how ill a worker suits: it may crash by itself, others have just begun, others run."""
     latest = max((run.ordered_at for run in worker.runs.values()), default=0.0)
     has_new = room.has_taken_from(worker) or now - latest < RECENT_START_SECONDS
-    is_young = now - worker.first_heard_at < SETTLED_SECONDS
+    is_young = now - worker.first_answer_at < SETTLED_SECONDS
     return is_young, has_new, len(worker.runs)
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -78,9 +78,9 @@
     unresolved_starts : dict of RunKey to float
         Starts ordered to the former life that may yet be carried out here, and when their stop was
         last sent; nothing is started beside them.
-    seen_through : int
+    processed_through : int
         Ends up to this number were taken in; each is told to the worker once committed.
-    told_through : int
+    acknowledged_through : int
         Ends up to this number are committed, so that the worker may forget them.
     previous_lease_expires_at : float
         The holder's second by which any lease that a former holder granted is over.
@@ -102,13 +102,13 @@
         Runs that are over, so that an older answer does not bring them back.
     missed_holds : int
         Holds in a row without an answer.
-    heard_at : float
+    last_answer_at : float
         When it last answered anything.
     was_refused : bool
         Since then a look at it ended well before its time: its process was not there.
     was_unanswered : bool
         Since then a look at it ended with its time: it, or its answer, was lost.
-    first_heard_at : float
+    first_answer_at : float
         When it first did; infinity before.
     last_contact_listing : WorkerListing
         What the directory said of it then; of one never heard, what its record says.
@@ -138,19 +138,19 @@
         self._held_processors = 0
         self._held_memory = 0
         self._held_accelerators = 0
-        self.seen_through = 0
-        self.told_through = 0
+        self.processed_through = 0
+        self.acknowledged_through = 0
         self.is_recorded = False
         self.was_used_by_previous_holder = False
         self.previous_lease_expires_at = previous_lease_expires_at
         self.lease_until_ms = 0
         self.retry_at = 0.0
         self.unanswered_order_at = 0.0
-        self.answered_at = 0.0
-        self.heard_at = 0.0
+        self.hold_answered_at = 0.0
+        self.last_answer_at = 0.0
         self.was_refused = False
         self.was_unanswered = False
-        self.first_heard_at = math.inf
+        self.first_answer_at = math.inf
         self.last_contact_listing = record.listing
         self.isolated_until = 0.0
         self.listed_clock_ms = 0
@@ -162,7 +162,7 @@
         self.next_hold_at = 0.0
         self.poll_requested = False
         self.missed_holds = 0
-        self.silent_since = 0.0
+        self.unresponsive_since = 0.0
 
     def move_to(self, contact: WorkerContact) -> None:
         """Change what is known of the worker."""
@@ -271,10 +271,10 @@
 
     def note_answer(self, now: float) -> None:
         """It answered: its process was there."""
-        self.heard_at = now
+        self.last_answer_at = now
         self.was_refused = False
         self.was_unanswered = False
-        self.first_heard_at = min(self.first_heard_at, now)
+        self.first_answer_at = min(self.first_answer_at, now)
         self.last_contact_listing = self.listing
 
     def note_failed_poll(self, ended_early: bool) -> None:
--- a/src/onyxspoke/core/shard/orders.py
+++ b/src/onyxspoke/core/shard/orders.py
@@ -81,7 +81,8 @@
 class HoldResult(msgspec.Struct, frozen=True):
     """A worker's answer to a hold: everything that runs there and every end not yet noted.
 
-    ``is_whole`` is false where the list of ends was cut off at its bound.  ``born_ms`` is when the
+    ``is_complete`` is false where the list of ends was cut off at its bound.  ``born_ms`` is when
+    the
     worker that answered started, counted from 1970 on its own clock; 0 where it did not say.
     """
 
@@ -89,7 +90,7 @@
     clock_ms: int = 0
     running: list[RunningReport] = []
     ended: list[EndReport] = []
-    is_whole: bool = True
+    is_complete: bool = True
     born_ms: int = 0
 
 
--- a/src/onyxspoke/core/shard/run_manager.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -124,7 +124,7 @@
             if worker.contact is not WorkerContact.RECONCILED:
                 continue
             for run in list(worker.runs.values()):
-                if run.state is RunState.RUNNING and is_stalled(run, worker.answered_at):
+                if run.state is RunState.RUNNING and is_stalled(run, worker.hold_answered_at):
                     self._context.log("worker_avoided", worker=worker.worker_id, reason="stalled")
                     worker.health.avoid(now)
                     self.stop(run, now, "stalled")
@@ -174,7 +174,7 @@
         if next_life is not None:
             self.hand_over_starts(worker, next_life, now)
         for run in list(worker.runs.values()):
-            seen_ms = int(max(0.0, worker.heard_at - run.sent_at) * _MILLISECONDS)
+            seen_ms = int(max(0.0, worker.last_answer_at - run.sent_at) * _MILLISECONDS)
             self.log_run("run_abandoned", run, reason=sign.value, seen_ms=seen_ms)
             self.end_run(run, RunEnd.ABANDONED, now)
         for run, blame in blamed:
--- a/src/onyxspoke/core/shard/run_reconciler.py
+++ b/src/onyxspoke/core/shard/run_reconciler.py
@@ -31,8 +31,8 @@
         """Take in a worker's lists; the hold was sent at ``sent_at``."""
         is_latest = result.clock_ms >= worker.listed_clock_ms
         for report in result.ended:
-            if report.number > worker.seen_through:
-                worker.seen_through = report.number
+            if report.number > worker.processed_through:
+                worker.processed_through = report.number
                 self._take_end(worker, report, now)
         if not is_latest:
             self._log_out_of_order(worker, result)
@@ -45,7 +45,7 @@
         for key in [key for key in worker.orphan_runs if key not in listed]:
             del worker.orphan_runs[key]
             self._context.needs_placement = True
-        if result.is_whole:
+        if result.is_complete:
             self._find_missing(worker, listed, result.clock_ms, sent_at, now)
 
     def _log_out_of_order(self, worker: Worker, result: HoldResult) -> None:
@@ -59,8 +59,8 @@
             running=len(result.running),
             ended=len(result.ended),
             runs=len(worker.runs),
-            seen_through=worker.seen_through,
-            told_through=worker.told_through,
+            seen_through=worker.processed_through,
+            told_through=worker.acknowledged_through,
         )
 
     def _take_end(self, worker: Worker, report: EndReport, now: float) -> None:
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -132,7 +132,7 @@
             waited_ms=int((now - task.step.ready_at) * _MILLISECONDS),
             quota_ms=int(task.step.over_quota_seconds * _MILLISECONDS),
             free_cpu=worker.free_processors,
-            look_age_ms=int((now - worker.answered_at) * _MILLISECONDS),
+            look_age_ms=int((now - worker.hold_answered_at) * _MILLISECONDS),
             policy=context.policy.version,
         )
         context.emit(
--- a/src/onyxspoke/core/shard/worker_manager.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -100,7 +100,7 @@
             self._send_hold(worker, worker.immediate_hold, now, wait_ms=0)
         elif not worker.long_hold.sent_at and now >= worker.next_hold_at:
             is_settled = worker.contact is WorkerContact.RECONCILED
-            is_committed = worker.told_through >= worker.seen_through
+            is_committed = worker.acknowledged_through >= worker.processed_through
             may_wait = is_settled and is_committed and worker.missed_holds == 0
             wait_ms = self._context.options.hold_wait_ms if may_wait else 0
             if now - self._answer_lost_at < LOSSY_SECONDS and worker.runs:
@@ -126,7 +126,7 @@
             SendHold(
                 address=address_of(worker),
                 token=context.token,
-                acknowledged_through=worker.told_through,
+                acknowledged_through=worker.acknowledged_through,
                 until_ms=until_ms,
                 wait_ms=wait_ms,
                 number=hold.number,
@@ -162,13 +162,13 @@
         if sent_at >= worker.unanswered_order_at:
             worker.unanswered_order_at = 0.0
         worker.missed_holds = 0
-        worker.answered_at = now
+        worker.hold_answered_at = now
         worker.note_answer(now)
         was_settled = worker.contact is WorkerContact.RECONCILED
         self._reports.reconcile(worker, result, sent_at, now)
         if not was_settled:
             self._settle(worker, result, now)
-        if result.is_whole:
+        if result.is_complete:
             self._reports.settle_worker(worker, now)
         self._after_answer(worker, now)
 
@@ -184,9 +184,9 @@
     def _after_answer(self, worker: Worker, now: float) -> None:
         context = self._context
         pause = context.options.hold_interval_seconds
-        if worker.seen_through > worker.told_through:
+        if worker.processed_through > worker.acknowledged_through:
             pause = UNCOMMITTED_PAUSE_SECONDS
-            context.commit.after_commit(_TellWorker(worker, worker.seen_through, context))
+            context.commit.after_commit(_TellWorker(worker, worker.processed_through, context))
         worker.next_hold_at = max(worker.next_hold_at, now + pause)
 
     def _take_miss(self, worker: Worker, outcome: OrderOutcome, now: float) -> None:
@@ -201,7 +201,7 @@
             worker.next_hold_at = now + SILENT_LOOK_SECONDS
         if worker.missed_holds >= MISSES_TO_SILENCE and worker.contact is WorkerContact.RECONCILED:
             worker.move_to(WorkerContact.UNRESPONSIVE)
-            worker.silent_since = now
+            worker.unresponsive_since = now
             lease_left = round(worker.lease_over_at() - now, 2)
             self._log(worker, "worker_silent", outcome=outcome.value, lease_left=lease_left)
 
@@ -231,7 +231,9 @@
             reason=sign.value,
             runs=len(worker.runs),
             listing=worker.listing.value,
-            unheard_ms=int((now - worker.heard_at) * _MILLISECONDS) if worker.heard_at else -1,
+            unheard_ms=int((now - worker.last_answer_at) * _MILLISECONDS)
+            if worker.last_answer_at
+            else -1,
         )
         self._runs.abandon_all(worker, sign, now, next_life)
         self._reports.settle_worker(worker, now)
@@ -292,6 +294,6 @@
 
     def __call__(self, now: float) -> None:
         worker = self._worker
-        worker.told_through = max(worker.told_through, self._number)
+        worker.acknowledged_through = max(worker.acknowledged_through, self._number)
         pause = self._context.options.hold_interval_seconds
-        worker.next_hold_at = min(worker.next_hold_at, max(now, worker.answered_at + pause))
+        worker.next_hold_at = min(worker.next_hold_at, max(now, worker.hold_answered_at + pause))
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -74,7 +74,7 @@
         self,
         records: list[WorkerRecord],
         unusable: list[UnusableEntry],
-        is_whole: bool,
+        is_complete: bool,
         now: float,
     ) -> None:
         """The directory lists these workers; a whole list also tells which are gone."""
@@ -82,7 +82,7 @@
             self._take_listing(record, now)
         for entry in unusable:
             self._take_unusable(entry)
-        if is_whole:
+        if is_complete:
             self._directory_is_known = True
             listed = {record.worker_id for record in records}
             listed |= {entry.worker_id for entry in unusable}
@@ -180,8 +180,8 @@
             born_ms=record.born_ms,
             former_born_ms=worker.record.born_ms,
             runs=len(worker.runs),
-            seen_through=worker.seen_through,
-            told_through=worker.told_through,
+            seen_through=worker.processed_through,
+            told_through=worker.acknowledged_through,
         )
 
     def begin_next_life(self, former: Worker, born_ms: int, now: float) -> Worker:
--- a/src/onyxspoke/platform/workers.py
+++ b/src/onyxspoke/platform/workers.py
@@ -261,7 +261,7 @@
             clock_ms=body.clock_ms,
             running=[_to_running(row) for row in body.running],
             ended=[_to_end(row) for row in body.ended],
-            is_whole=len(body.ended) < MAXIMUM_ENDS,
+            is_complete=len(body.ended) < MAXIMUM_ENDS,
             born_ms=body.born,
         )
     except (*UNREADABLE_ERRORS, ValueError, IndexError, TypeError):
