--- a/features/admission_refusals.feature
+++ b/features/admission_refusals.feature
@@ -1,10 +1,10 @@
-Feature: Callers see whether load or trouble refused them, and when to come back
+Feature: A refusal tells callers its reason, load or fault, and the retry time
 
-  Scenario Outline: A refusal for load is 429, one for trouble 503, both with whole seconds
+  Scenario Outline: A refusal for load is 429, one for a fault is 503, both with a retry time in whole seconds
     Given a running cluster of nodes with a front for callers
     When a job is refused there for "<reason>" and <seconds> seconds
     Then the front's answer has status <status>
-    And the front's answer tells to come back after <told> seconds
+    And the front's answer has a Retry-After of <told> seconds
 
     Examples:
       | reason                        | seconds | status | told |
@@ -19,11 +19,11 @@
       | too_late                      | nan     | 429    | 1    |
       | too_late                      | inf     | 429    | 3600 |
 
-  Scenario Outline: The product's own interface says the same by a code
+  Scenario Outline: The product's own interface also returns a code
     Given a running cluster with the product's own interface
     When a job is refused at the product's own interface for "<reason>" and 3.2 seconds
     Then the front's answer has status <status> and code <code>
-    And the front's answer tells to come back after 4 seconds
+    And the front's answer has a Retry-After of 4 seconds
 
     Examples:
       | reason            | status | code |
--- a/features/steps/admission_callers.py
+++ b/features/steps/admission_callers.py
@@ -1,4 +1,4 @@
-"""Callers who come back when they are told to, on a cell in virtual time."""
+"""Simulated callers that retry refused jobs at the given time, on a cell in virtual time."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 from onyxspoke.kit.jobs.workers import WorkOptions
 from onyxspoke.sim.job_cluster import ClusterOptions, JobCluster
 
-SETTLE_SECONDS = 3.0
-#: Every task takes a second of 4 of the 16 processors that a worker has.
+STARTUP_SECONDS = 3.0
+#: Every task takes one second and 4 of a worker's 16 processors.
 WORK_SECONDS = 1.0
 PROCESSORS_MILLI = 4_000
-TASKS_A_WORKER = 4
-#: By the queues of the simulated cell: 2 times the work and half a second.
+TASKS_PER_WORKER = 4
+#: Objective in the queues of the simulated cell: twice the work plus half a second.
 OBJECTIVE_SECONDS = 2.5
-UNANSWERED_PAUSE_SECONDS = 0.4
-#: After the last hand-in, until everybody was served or has given up.
-REST_SECONDS = 16.0
-WITH, WITHOUT = "with admission", "without"
+UNANSWERED_RETRY_SECONDS = 0.4
+#: Time after the last submission until every caller is served or has given up.
+COMPLETION_SECONDS = 16.0
+WITH, WITHOUT = "with admission control", "without admission control"
 
 
 @dataclass(slots=True)
 class Caller:
-    """One caller: its job, and what became of it."""
+    """A simulated caller: its job, and the outcome of each call."""
 
     spec: JobSpec
     first_submitted_at: float
@@ -51,18 +51,18 @@
         )
 
     @property
-    def is_of_use(self) -> bool:
-        bound = EXPIRY_FACTOR * OBJECTIVE_SECONDS
-        return self.done_at is not None and self.done_at - self.first_submitted_at <= bound
+    def is_done_before_expiry(self) -> bool:
+        expiry_seconds = EXPIRY_FACTOR * OBJECTIVE_SECONDS
+        return self.done_at is not None and self.done_at - self.first_submitted_at <= expiry_seconds
 
 
-class Arrivals:
-    """Callers who hand jobs in, come back when they are told to, and give up in the end."""
+class CallerTraffic:
+    """Simulated callers that submit jobs, retry refused ones, and give up when jobs expire."""
 
     def __init__(self, cluster: JobCluster) -> None:
         self.cluster = cluster
         self.callers: dict[str, Caller] = {}
-        self._left: Counter[str] = Counter()
+        self._remaining_tasks: Counter[str] = Counter()
         handle_ended = cluster.audit.handle_ended
 
         def note_ended(worker: Any, run: Any, end: RunEnd) -> None:
@@ -73,26 +73,28 @@
         cluster.audit.handle_ended = note_ended
 
     def _note_done(self, job_id: str) -> None:
-        self._left[job_id] -= 1
-        if self._left[job_id] == 0 and job_id in self.callers:
+        self._remaining_tasks[job_id] -= 1
+        if self._remaining_tasks[job_id] == 0 and job_id in self.callers:
             self.callers[job_id].done_at = self.cluster.time.now()
 
     @property
-    def broken(self) -> list[Caller]:
-        """Callers whose jobs were taken at once, and came too late to be of use."""
+    def expired_after_admission(self) -> list[Caller]:
+        """Callers whose jobs were admitted on the first call, and expired."""
         return [
             caller
             for caller in self.callers.values()
-            if caller.accepted_at and not caller.refusals and not caller.is_of_use
+            if caller.accepted_at and not caller.refusals and not caller.is_done_before_expiry
         ]
 
-    def send(self, rate: float, seconds: float, queue: str, tenant: str = "") -> None:
-        """Have jobs handed in evenly from now on; this returns at once."""
-        for number in range(round(rate * seconds)):
-            at = number / rate
-            self.cluster.time.schedule(at, partial(self.hand_in, queue, tenant))
+    def schedule_submissions(
+        self, rate: float, seconds: float, queue: str, tenant: str = ""
+    ) -> None:
+        """Schedule evenly spaced submissions from now on, and return at once."""
+        for index in range(round(rate * seconds)):
+            delay_seconds = index / rate
+            self.cluster.time.schedule(delay_seconds, partial(self.submit, queue, tenant))
 
-    def hand_in(
+    def submit(
         self, queue: str, tenant: str = "", estimated_ms: int = int(WORK_SECONDS * 1_000)
     ) -> Caller:
         cluster = self.cluster
@@ -113,38 +115,38 @@
         )
         cluster.pool.specs[job_id] = spec
         cluster.audit.handle_submitted(spec)
-        self._left[job_id] = 1
+        self._remaining_tasks[job_id] = 1
         caller = self.callers[job_id] = Caller(spec, cluster.time.now())
-        self.try_again(caller)
+        self.send_call(caller)
         return caller
 
-    def try_again(self, caller: Caller) -> None:
+    def send_call(self, caller: Caller) -> None:
         cluster = self.cluster
         ready = [node for node in cluster.nodes.values() if node.is_up and node.node.is_ready]
         if not ready:
-            self._come_back(caller, UNANSWERED_PAUSE_SECONDS)
+            self._schedule_retry(caller, UNANSWERED_RETRY_SECONDS)
             return
         node = ready[int(caller.spec.job_id, 16) % len(ready)]
         call = SubmitCall(caller.spec)
-        cluster.call(node, caller.spec.job_id, call, partial(self._take, caller))
+        cluster.call(node, caller.spec.job_id, call, partial(self._handle_reply, caller))
 
-    def _take(self, caller: Caller, reply: CallReply | None) -> None:
+    def _handle_reply(self, caller: Caller, reply: CallReply | None) -> None:
         now = self.cluster.time.now()
         self.cluster.audit.handle_submit_reply(caller.spec.job_id, reply)
         if reply is not None and reply.code is ReplyCode.OK:
             caller.accepted_at = caller.accepted_at or now
         elif reply is not None and reply.code is ReplyCode.REFUSED:
             caller.refusals.append((now, reply.retry_after_seconds, reply.reason))
-            self._come_back(caller, reply.retry_after_seconds)
+            self._schedule_retry(caller, reply.retry_after_seconds)
         else:
-            self._come_back(caller, UNANSWERED_PAUSE_SECONDS)
+            self._schedule_retry(caller, UNANSWERED_RETRY_SECONDS)
 
-    def _come_back(self, caller: Caller, seconds: float) -> None:
-        gives_up_at = caller.first_submitted_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS
-        if self.cluster.time.now() + seconds < gives_up_at:
-            self.cluster.time.schedule(seconds, partial(self.try_again, caller))
+    def _schedule_retry(self, caller: Caller, seconds: float) -> None:
+        expires_at = caller.first_submitted_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS
+        if self.cluster.time.now() + seconds < expires_at:
+            self.cluster.time.schedule(seconds, partial(self.send_call, caller))
 
-    def of(self, queue: str = "", tenant: str = "") -> list[Caller]:
+    def select(self, queue: str = "", tenant: str = "") -> list[Caller]:
         return [
             caller
             for caller in self.callers.values()
@@ -152,10 +154,10 @@
         ]
 
 
-def _expected_as_told(
+def _expected_as_estimated(
     _durations: Durations, _queue: str, _tenant: str, estimated_ms: float, _worker: str = ""
 ) -> Expected:
-    """Stand for what was learned of work that takes as long as its callers say."""
+    """Stand in for learned durations, as if every task took as long as its caller estimated."""
     seconds = estimated_ms / 1_000.0
     return Expected(seconds, seconds, evidence=100.0)
 
@@ -163,7 +165,7 @@
 def start_cluster(
     context: Any, workers: int, *, admission: bool, tenants: dict[str, float], nodes: int = 3
 ) -> None:
-    patch = mock.patch.object(Durations, "expected", _expected_as_told)
+    patch = mock.patch.object(Durations, "expected", _expected_as_estimated)
     patch.start()
     context.add_cleanup(patch.stop)
     work = WorkOptions(seed=7, shortest_seconds=WORK_SECONDS, longest_seconds=WORK_SECONDS)
@@ -179,20 +181,22 @@
     )
     cluster = context.cluster = JobCluster(options)
     cluster.start()
-    cluster.run(SETTLE_SECONDS)
-    context.arrivals = Arrivals(cluster)
-    context.capacity = workers * TASKS_A_WORKER / WORK_SECONDS
+    cluster.run(STARTUP_SECONDS)
+    context.traffic = CallerTraffic(cluster)
+    context.served_per_second = workers * TASKS_PER_WORKER / WORK_SECONDS
 
 
-def play_both(context: Any, tenants: dict[str, float], load: Callable[[Arrivals], float]) -> None:
-    """Play the same load on a cell with the part, and on one without."""
-    context.played = {}
+def run_with_and_without(
+    context: Any, tenants: dict[str, float], load: Callable[[CallerTraffic], float]
+) -> None:
+    """Run the same load on a cell with admission control, and on a cell without it."""
+    context.traffic_by_mode = {}
     for name in (WITH, WITHOUT):
         start_cluster(context, 4, admission=name == WITH, tenants=tenants)
-        seconds = load(context.arrivals)
-        context.cluster.run(seconds + REST_SECONDS)
+        seconds = load(context.traffic)
+        context.cluster.run(seconds + COMPLETION_SECONDS)
         assert not context.cluster.audit.findings, context.cluster.audit.findings
-        context.played[name] = context.arrivals
+        context.traffic_by_mode[name] = context.traffic
 
 
 def summary_of(cluster: JobCluster) -> AdmissionSummary | None:
--- a/features/steps/admission_failure_steps.py
+++ b/features/steps/admission_failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps about admission while holders, the store or the input fail."""
+"""Steps about admission control while holders or the store fail, or the input is unusual."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 import msgspec
 from admission_callers import (
+    COMPLETION_SECONDS,
     OBJECTIVE_SECONDS,
-    REST_SECONDS,
     WITH,
     WITHOUT,
     WORK_SECONDS,
-    Arrivals,
     Caller,
-    play_both,
+    CallerTraffic,
+    run_with_and_without,
     start_cluster,
     summary_of,
 )
@@ -28,36 +28,36 @@
 from onyxspoke.sim.job_cluster import make_configuration
 
 
-@given("a cell that decides about admission")
-def _deciding_cell(context: Any) -> None:
+@given("a cell with admission control")
+def _cell_with_admission(context: Any) -> None:
     start_cluster(context, 4, admission=True, tenants={})
 
 
-@given("a cell that does not decide about admission")
-def _indifferent_cell(context: Any) -> None:
+@given("a cell without admission control")
+def _cell_without_admission(context: Any) -> None:
     start_cluster(context, 4, admission=False, tenants={})
 
 
-@given("{rate:d} jobs a second come to it for {seconds:d} seconds")
-def _come(context: Any, rate: int, seconds: int) -> None:
-    context.arrivals.send(rate, seconds, "normal")
+@given("{rate:d} jobs per second are submitted to it for {seconds:d} seconds")
+def _submit_jobs(context: Any, rate: int, seconds: int) -> None:
+    context.traffic.schedule_submissions(rate, seconds, "normal")
 
 
-@given("{rate:d} urgent jobs a second come to it for {seconds:d} seconds")
-def _urgent_come(context: Any, rate: int, seconds: int) -> None:
-    context.arrivals.send(rate, seconds, "urgent")
+@given("{rate:d} urgent jobs per second are submitted to it for {seconds:d} seconds")
+def _submit_urgent_jobs(context: Any, rate: int, seconds: int) -> None:
+    context.traffic.schedule_submissions(rate, seconds, "urgent")
 
 
-@given("the whole list of its workers has not come yet")
-def _no_whole_list(context: Any) -> None:
+@given("its holder has not received the full list of workers yet")
+def _workers_not_listed(context: Any) -> None:
     patch = mock.patch.object(WorkerRegistry, "knows_directory", False)
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-@then("nobody was refused, and nothing is told of its queues")
-def _nobody_refused(context: Any) -> None:
-    callers = context.arrivals.of()
+@then("no job was refused, and there is no summary of its queues")
+def _no_job_refused(context: Any) -> None:
+    callers = context.traffic.select()
     assert callers and not any(caller.refusals for caller in callers)
     assert summary_of(context.cluster) is None
 
@@ -69,183 +69,190 @@
     cluster.kill_node(cluster.holder().name)
 
 
-@when("the store is away from second {first:g} to second {last:g}")
-def _store_away(context: Any, first: float, last: float) -> None:
+@when("the store is unreachable from second {first:g} to second {last:g}")
+def _store_unreachable(context: Any, first: float, last: float) -> None:
     cluster = context.cluster
     cluster.run(first)
     cluster.store.faults.is_down = True
     cluster.run(last - first)
     cluster.store.faults.is_down = False
-    context.back_at = cluster.time.now()
+    context.reachable_at = cluster.time.now()
 
 
-@when("{seconds:g} seconds pass for its callers")
-def _pass(context: Any, seconds: float) -> None:
+@when("the cell runs for {seconds:g} seconds")
+def _run_cell(context: Any, seconds: float) -> None:
     context.cluster.run(seconds)
 
 
-@then("its successor refuses nothing before it knows what waits")
-def _successor(context: Any) -> None:
+@then("the next holder refuses no job before it knows the waiting jobs")
+def _next_holder_refuses_none(context: Any) -> None:
     cluster = context.cluster
-    known_at = None
+    load_known_at = None
     for _ in range(200):
         cluster.run(0.05)
         holder = cluster.holder()
         if holder is not None and summary_of(cluster) is not None:
-            known_at = cluster.time.now()
+            load_known_at = cluster.time.now()
             break
         if holder is not None:
             context.taken_over_at = getattr(context, "taken_over_at", cluster.time.now())
-    assert known_at is not None
-    began_at = getattr(context, "taken_over_at", known_at)
-    early = [
+    assert load_known_at is not None
+    started_at = getattr(context, "taken_over_at", load_known_at)
+    early_refusals = [
         moment
-        for caller in context.arrivals.of()
+        for caller in context.traffic.select()
         for moment, _seconds, reason in caller.refusals
-        if began_at <= moment < known_at - 0.05 and reason != "store_in_trouble"
+        if started_at <= moment < load_known_at - 0.05 and reason != "store_in_trouble"
     ]
-    assert not early, early
+    assert not early_refusals, early_refusals
 
 
-@then("no promise of the cell is broken")
-def _no_violation(context: Any) -> None:
+@then("the audit finds no violation, and every accepted job is done")
+def _no_audit_violation(context: Any) -> None:
     cluster = context.cluster
-    cluster.run(REST_SECONDS)
+    cluster.run(COMPLETION_SECONDS)
     assert not cluster.audit.findings, cluster.audit.findings
-    lost = [
+    lost_job_ids = [
         caller.spec.job_id
-        for caller in context.arrivals.of()
+        for caller in context.traffic.select()
         if caller.accepted_at is not None and caller.done_at is None
     ]
-    assert not lost, lost
+    assert not lost_job_ids, lost_job_ids
 
 
-def _away_refusals(context: Any) -> list[tuple[Caller, float]]:
-    """Return who was refused because the store was away, and for how many seconds."""
+def _store_refusals(context: Any) -> list[tuple[Caller, float]]:
+    """Return the callers refused because the store was unreachable, and their retry times."""
     return [
         (caller, seconds)
-        for caller in context.arrivals.of()
+        for caller in context.traffic.select()
         for _moment, seconds, reason in caller.refusals
         if reason == "store_in_trouble"
     ]
 
 
-@then("the flood's jobs that were refused meanwhile are owed no more than the weight of its tenant")
-def _flood_not_owed(context: Any) -> None:
-    desk = context.cluster.holder().node.seats[0].scheduler._admission
-    flood = {caller.spec.job_id: caller for caller, _seconds in _away_refusals(context)}
-    specs = [caller.spec for caller in flood.values() if caller.spec.tenant == "flood"]
-    remembered = [desk.find_refused_job(spec) for spec in specs]
-    owed = sum(refused is not None and refused.is_entitled for refused in remembered)
-    # 2 seconds of a weight of 4, and what is saved up for one.
-    assert len(specs) > 12 >= owed, (len(specs), owed)
+@then("of the flooding tenant's refused jobs, no more are entitled than its weight allows")
+def _flood_not_entitled(context: Any) -> None:
+    admission = context.cluster.holder().node.seats[0].scheduler._admission
+    flood_callers = {caller.spec.job_id: caller for caller, _seconds in _store_refusals(context)}
+    specs = [caller.spec for caller in flood_callers.values() if caller.spec.tenant == "flood"]
+    refused_jobs = [admission.find_refused_job(spec) for spec in specs]
+    entitled_count = sum(refused is not None and refused.is_entitled for refused in refused_jobs)
+    # The share of a tenant of weight 4 in 2 seconds, plus what one tenant may save up.
+    assert len(specs) > 12 >= entitled_count, (len(specs), entitled_count)
 
 
-@when("a job that was refused once is taken, and the store is in trouble before its append is sent")
-def _taken_back(context: Any) -> None:
+@when("a job that was refused once is submitted, and the store fails before its append is sent")
+def _withdrawn_job(context: Any) -> None:
     cluster = context.cluster
     scheduler = cluster.holder().node.seats[0].scheduler
-    desk = scheduler._admission
-    with mock.patch.object(Arrivals, "try_again", lambda *_args: None):
-        context.spec = context.arrivals.hand_in("normal").spec
+    admission = scheduler._admission
+    with mock.patch.object(CallerTraffic, "send_call", lambda *_args: None):
+        context.spec = context.traffic.submit("normal").spec
     now = cluster.time.now()
-    desk.refuse_for_unreachable_store([context.spec], now)
-    context.first_submitted_at = desk.find_refused_job(context.spec).first_submitted_at
+    admission.refuse_for_unreachable_store([context.spec], now)
+    context.first_submitted_at = admission.find_refused_job(context.spec).first_submitted_at
     cluster.run(1.0)
     now = cluster.time.now()
     scheduler._calls._submit(-1, context.spec, now)
-    assert desk.find_refused_job(context.spec) is None
+    assert admission.find_refused_job(context.spec) is None
     scheduler._calls._refuse_unsent(now)
 
 
-@then("its first hand-in is remembered as before")
-def _first_hand_in(context: Any) -> None:
-    desk = context.cluster.holder().node.seats[0].scheduler._admission
-    assert desk.find_refused_job(context.spec).first_submitted_at == context.first_submitted_at
+@then("the time of its first submission is still remembered")
+def _first_submission_kept(context: Any) -> None:
+    admission = context.cluster.holder().node.seats[0].scheduler._admission
+    assert admission.find_refused_job(context.spec).first_submitted_at == context.first_submitted_at
 
 
-@then("each of them is told to come back while it can still be of use")
-def _told_in_use(context: Any) -> None:
+@then("each of them gets a retry time at which it can still finish before it expires")
+def _retry_before_expiry(context: Any) -> None:
     refused = [
         (caller.first_submitted_at + EXPIRY_FACTOR * OBJECTIVE_SECONDS - moment, seconds)
-        for caller in context.arrivals.of()
+        for caller in context.traffic.select()
         for moment, seconds, reason in caller.refusals
         if reason == "store_in_trouble"
     ]
     assert len(refused) > 100, len(refused)
-    # Whoever has a second left at which it may come, and do its work, is told none after that.
-    past_use = [item for item in refused if item[1] > max(1.0, item[0] - WORK_SECONDS)]
-    assert not past_use, (len(past_use), len(refused), past_use[:3])
+    # A retry time must leave the job time for its work, unless less than a second is left for it.
+    late_retries = [item for item in refused if item[1] > max(1.0, item[0] - WORK_SECONDS)]
+    assert not late_retries, (len(late_retries), len(refused), late_retries[:3])
 
 
-@then("those refused meanwhile are told at least {count:d} different whole seconds")
-def _spread(context: Any, count: int) -> None:
-    told = {seconds for _caller, seconds in _away_refusals(context)}
-    assert len(told) >= count, told
-    assert all(seconds >= 1.0 and seconds == int(seconds) for seconds in told), told
+@then("the jobs refused meanwhile get at least {count:d} different retry times in whole seconds")
+def _retries_spread(context: Any, count: int) -> None:
+    retry_times = {seconds for _caller, seconds in _store_refusals(context)}
+    assert len(retry_times) >= count, retry_times
+    assert all(seconds >= 1.0 and seconds == int(seconds) for seconds in retry_times), retry_times
 
 
-@then("the urgent are told to come back sooner than the others")
-def _urgent_sooner(context: Any) -> None:
+@then("urgent jobs get shorter retry times on average than the others")
+def _urgent_retry_sooner(context: Any) -> None:
     waits: dict[str, list[float]] = {}
-    for caller, seconds in _away_refusals(context):
+    for caller, seconds in _store_refusals(context):
         waits.setdefault(caller.spec.queue.name, []).append(seconds)
-    means = {queue: sum(told) / len(told) for queue, told in waits.items()}
+    means = {queue: sum(retry_times) / len(retry_times) for queue, retry_times in waits.items()}
     assert means["urgent"] < means["normal"], means
 
 
-def _most_in_a_second(callers: list[Caller]) -> int:
-    """Return how many callers who were refused come back within the same second at most."""
+def _max_retries_per_second(callers: list[Caller]) -> int:
+    """Return the largest number of refused callers whose retry falls in the same second."""
     due = Counter(
         int(moment + seconds) for caller in callers for moment, seconds, _why in caller.refusals
     )
     return max(due.values())
 
 
-@when("the store is away for {seconds:d} seconds while {rate:d} jobs a second come")
+@when(
+    "the store is unreachable for {seconds:d} seconds while {rate:d} jobs per second are submitted"
+)
 def _outage(context: Any, seconds: int, rate: int) -> None:
-    def load(arrivals: Arrivals) -> float:
-        arrivals.send(rate, seconds + 3.0, "normal")
-        arrivals.cluster.run(2.0)
-        arrivals.cluster.store.faults.is_down = True
-        arrivals.cluster.run(seconds)
-        arrivals.cluster.store.faults.is_down = False
+    def load(traffic: CallerTraffic) -> float:
+        traffic.schedule_submissions(rate, seconds + 3.0, "normal")
+        traffic.cluster.run(2.0)
+        traffic.cluster.store.faults.is_down = True
+        traffic.cluster.run(seconds)
+        traffic.cluster.store.faults.is_down = False
         return 1.0
 
-    play_both(context, {}, load)
+    run_with_and_without(context, {}, load)
 
 
-@then("at most {share:g} times as many come back in one second as without")
-def _less_thunder(context: Any, share: float) -> None:
-    most = {name: _most_in_a_second(arrivals.of()) for name, arrivals in context.played.items()}
-    assert most[WITH] <= share * most[WITHOUT], most
+@then("at most {share:g} times as many callers retry in one second as without admission control")
+def _fewer_simultaneous_retries(context: Any, share: float) -> None:
+    max_retries = {
+        name: _max_retries_per_second(traffic.select())
+        for name, traffic in context.traffic_by_mode.items()
+    }
+    assert max_retries[WITH] <= share * max_retries[WITHOUT], max_retries
 
 
-@then("no fewer jobs are of use than without")
-def _no_fewer_of_use(context: Any) -> None:
-    figures = {
-        name: sum(caller.is_of_use for caller in arrivals.of())
-        for name, arrivals in context.played.items()
+@then("no fewer jobs finish before they expire than without admission control")
+def _no_fewer_done_before_expiry(context: Any) -> None:
+    counts = {
+        name: sum(caller.is_done_before_expiry for caller in traffic.select())
+        for name, traffic in context.traffic_by_mode.items()
     }
-    assert figures[WITH] >= figures[WITHOUT], figures
+    assert counts[WITH] >= counts[WITHOUT], counts
 
 
-@then("all who were refused were told {seconds:g} second")
-def _told_alike(context: Any, seconds: float) -> None:
-    told = {wait for caller in context.arrivals.of() for _at, wait, _why in caller.refusals}
-    assert told == {seconds}, told
+@then("every refused job got a retry time of {seconds:g} second")
+def _equal_retry_times(context: Any, seconds: float) -> None:
+    retry_times = {
+        wait for caller in context.traffic.select() for _at, wait, _why in caller.refusals
+    }
+    assert retry_times == {seconds}, retry_times
 
 
-@when("more jobs than are served are played over seeds {first:d} to {last:d} with drawn faults")
-def _play_faults(context: Any, first: int, last: int) -> None:
+@when("an overload with random faults is simulated with seeds {first:d} to {last:d}")
+def _simulate_faults(context: Any, first: int, last: int) -> None:
     context.job_reports = [
         play(seed, with_tenants=bool(seed % 2), shards=1 + seed % 3 // 2, with_admission=True)
         for seed in range(first, last + 1)
     ]
 
 
-@then("jobs were refused, and no promise is broken in any of them")
-def _refused_unbroken(context: Any) -> None:
+@then("jobs were refused, and the audit finds no violation in any simulation")
+def _refused_without_violation(context: Any) -> None:
     findings = [finding for report in context.job_reports for finding in report.findings]
     assert not findings, findings[:3]
     refused = [report.counts.get("submit_refused", 0) for report in context.job_reports]
@@ -255,23 +262,23 @@
 # Bad input
 
 
-@when("jobs with estimates of {estimates} ms are handed in there")
-def _estimates(context: Any, estimates: str) -> None:
-    context.odd = [
-        context.arrivals.hand_in("normal", estimated_ms=int(text)) for text in estimates.split(", ")
+@when("jobs with estimates of {estimates} ms are submitted to it")
+def _submit_estimates(context: Any, estimates: str) -> None:
+    context.unusual_callers = [
+        context.traffic.submit("normal", estimated_ms=int(text)) for text in estimates.split(", ")
     ]
 
 
-@then("each of them is answered, and those that are taken are done")
-def _answered(context: Any) -> None:
-    context.cluster.run(REST_SECONDS)
-    for caller in context.odd:
+@then("each of them is answered, and every accepted one is done")
+def _all_answered(context: Any) -> None:
+    context.cluster.run(COMPLETION_SECONDS)
+    for caller in context.unusual_callers:
         assert caller.accepted_at or caller.refusals, caller
         assert caller.accepted_at is None or caller.done_at is not None, caller
 
 
-@when("the part is switched on and off every {seconds:g} seconds for {total:d} seconds")
-def _toggle(context: Any, seconds: float, total: int) -> None:
+@when("admission control is switched on and off every {seconds:g} seconds for {total:d} seconds")
+def _toggle_admission(context: Any, seconds: float, total: int) -> None:
     for number in range(int(total / seconds)):
         for node in context.cluster.nodes.values():
             scheduler = node.node.seats[0].scheduler
@@ -282,19 +289,19 @@
         context.cluster.run(seconds)
 
 
-@given("a cell of a tenant with a weight of 0 and one of {weight:g}, that decides about admission")
-def _weightless(context: Any, weight: float) -> None:
+@given("a cell with admission control, a tenant of weight 0 and a tenant of weight {weight:g}")
+def _cell_with_weight_0(context: Any, weight: float) -> None:
     start_cluster(context, 4, admission=True, tenants={"none": 0.0, "some": weight})
 
 
-@given("{rate:d} jobs a second of each come to it for {seconds:d} seconds")
-def _both_come(context: Any, rate: int, seconds: int) -> None:
+@given("{rate:d} jobs per second of each tenant are submitted to it for {seconds:d} seconds")
+def _submit_for_both(context: Any, rate: int, seconds: int) -> None:
     for tenant in ("none", "some"):
-        context.arrivals.send(rate, seconds, "normal", tenant)
+        context.traffic.schedule_submissions(rate, seconds, "normal", tenant)
 
 
-@when("the tenant with a weight of 0 goes {seconds:g} seconds later")
-def _goes(context: Any, seconds: float) -> None:
+@when("the tenant of weight 0 is removed {seconds:g} seconds later")
+def _remove_tenant(context: Any, seconds: float) -> None:
     cluster = context.cluster
     cluster.run(seconds)
     left = tuple(tenant for tenant in cluster.options.tenants if tenant.name != "none")
--- a/features/steps/admission_holder_steps.py
+++ b/features/steps/admission_holder_steps.py
@@ -1,4 +1,4 @@
-"""Steps about identifiers that a holder knows, and about the part switched off."""
+"""Steps about jobs that a holder knows already, and about admission control switched off."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     return context.cluster.holder().node.seats[0].scheduler
 
 
-@when("its gate refuses everything")
-def _refuse_all(context: Any) -> None:
-    context.arrivals.hand_in("normal")
+@when("a job is admitted to it, and from then on every decision is a refusal")
+def _admit_one_then_refuse(context: Any) -> None:
+    context.traffic.submit("normal")
     context.cluster.run(0.5)
     patch = mock.patch.object(AdmissionDecider, "decide", _refuse)
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-def _refuse(_gate: AdmissionDecider, job: SubmittedJob, view: LoadView, now: float) -> Any:
+def _refuse(_decider: AdmissionDecider, job: SubmittedJob, view: LoadView, now: float) -> Any:
     inputs = VerdictInputs(
         start_delay_seconds=0.0,
         advice_seconds=0.0,
@@ -43,16 +43,16 @@
     return Refuse(RefusalReason.TOO_LATE, 1.0, inputs)
 
 
-@then("a job that was taken before has its 2xx again, also one that an append under way has")
-def _known(context: Any) -> None:
-    [caller] = context.arrivals.of()
+@then("a known job is accepted again, also one whose append is in flight")
+def _known_job_accepted(context: Any) -> None:
+    [caller] = context.traffic.select()
     scheduler = _scheduler(context)
     now = context.cluster.time.now()
-    book = scheduler.context.job_registry
-    fresh = msgspec.structs.replace(caller.spec, job_id="f" * 16)
-    book.submit(fresh, now)
+    job_registry = scheduler.context.job_registry
+    in_flight = msgspec.structs.replace(caller.spec, job_id="f" * 16)
+    job_registry.submit(in_flight, now)
     replies = []
-    for spec in (caller.spec, fresh):
+    for spec in (caller.spec, in_flight):
         scheduler.on_call(-1, SubmitCall(spec), now)
         replies += [a.reply for a in scheduler.context.actions if isinstance(a, ReplyToCall)]
         scheduler.context.actions = [
@@ -61,22 +61,22 @@
     assert [reply.code for reply in replies] == [ReplyCode.OK], replies
 
 
-@then("a job that is not known is refused, and decided anew when it comes again")
-def _unknown_refused(context: Any) -> None:
-    caller = context.arrivals.hand_in("normal")
+@then("an unknown job is refused, and decided anew when it is retried")
+def _unknown_job_refused(context: Any) -> None:
+    caller = context.traffic.submit("normal")
     context.cluster.run(0.5)
     assert len(caller.refusals) == 1
     mock.patch.stopall()
     context.cluster.run(5.0)
-    assert caller.accepted_at is not None and caller.is_of_use
+    assert caller.accepted_at is not None and caller.is_done_before_expiry
 
 
-@then("a job of the first that comes {times:d} times asks once whether it is owed")
-def _asks_once(context: Any, times: int) -> None:
+@then("a job of the tenant of weight 0 that is sent {times:d} times counts once against its share")
+def _counted_once(context: Any, times: int) -> None:
     scheduler = _scheduler(context)
-    [caller] = context.arrivals.of()
+    [caller] = context.traffic.select()
     shares = scheduler.context.shares
-    # The first job of all takes the one mark that is saved up.
+    # The first job uses the one job of fair share that the tenant has saved up.
     for name, count in (("d", 1), ("e", times)):
         spec = msgspec.structs.replace(caller.spec, job_id=name * 16, tenant="none")
         for _ in range(count):
@@ -85,10 +85,10 @@
     assert (shares.owed_count("none"), shares.beyond_count("none")) == (1, 1)
 
 
-@given("nothing of the part can be asked")
-def _poisoned(context: Any) -> None:
+@given("every function of admission control raises an error")
+def _admission_raises(context: Any) -> None:
     def fail(*_args: Any, **_kwargs: Any) -> None:
-        raise AssertionError("asked while it is off")
+        raise AssertionError("called while admission control is off")
 
     for target in (
         (AdmissionDecider, "decide"),
@@ -101,8 +101,8 @@
         context.add_cleanup(patch.stop)
 
 
-@then("its jobs are all taken while the store answers")
-def _all_taken(context: Any) -> None:
-    assert context.arrivals.of()
-    for caller in context.arrivals.of():
+@then("all its jobs are accepted while the store answers")
+def _all_accepted(context: Any) -> None:
+    assert context.traffic.select()
+    for caller in context.traffic.select():
         assert all(reason == "store_in_trouble" for _at, _wait, reason in caller.refusals)
--- a/features/steps/admission_rule_steps.py
+++ b/features/steps/admission_rule_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what holds for every decision on a hand-in, without a cluster."""
+"""Steps about properties that hold for every admission decision, without a cluster."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 WORKERS = 3
 PROCESSORS = 8
-#: What runs (worker, processors, priority, with checkpoints) and what waits (tasks, processors,
-#: priority, seconds ago) in drawn cells.
+#: Random cells: runs (worker, processors, priority, with checkpoints) and waiting steps (tasks,
+#: processors, priority, age in seconds).
 RUNS = st.lists(
     st.tuples(st.integers(0, WORKERS - 1), st.integers(1, 6), st.integers(0, 3), st.booleans()),
     max_size=12,
@@ -96,8 +96,8 @@
     return describe_submitted_job(spec, queue, Durations(), scene.now)
 
 
-@when("jobs are handed in to drawn cells")
-def _drawn_cells(context: Any) -> None:
+@when("jobs are submitted to random cells")
+def _decide_random_cells(context: Any) -> None:
     context.decided = []
 
     @drawn(RUNS, WAITING, JOBS)
@@ -113,16 +113,16 @@
     check()
 
 
-@then("none is refused that workers which stand free could run")
-def _free_room(context: Any) -> None:
+@then("no job is refused that idle workers could run")
+def _idle_workers_not_refused(context: Any) -> None:
     refused = [item for item in context.decided if item[1] and not item[2]]
     assert not refused, refused[0]
     assert any(item[1] for item in context.decided)
     assert not all(item[2] for item in context.decided)
 
 
-@when("urgent jobs are handed in to drawn cells with less urgent work and without")
-def _urgent(context: Any) -> None:
+@when("urgent jobs are submitted to random cells with and without less urgent work")
+def _decide_urgent(context: Any) -> None:
     context.decided = []
 
     @drawn(RUNS, WAITING, st.integers(1, 6), st.integers(1, 8))
@@ -142,15 +142,15 @@
     check()
 
 
-@then("each is taken in the one where it is taken in the other")
-def _same_verdict(context: Any) -> None:
+@then("each job that is admitted without the less urgent work is also admitted with it")
+def _less_urgent_ignored(context: Any) -> None:
     pushed = [item for item in context.decided if item[1] and not item[0]]
     assert not pushed, len(pushed)
     assert [False, False] in context.decided
 
 
-@when("refused jobs are told when to come back, with drawn work and waits")
-def _slots(context: Any) -> None:
+@when("retry slots are reserved for random amounts of work and random minimum waits")
+def _reserve_random_slots(context: Any) -> None:
     context.worst = 0.0
     context.compared = 0
     refusals = st.lists(
@@ -179,8 +179,8 @@
     check()
 
 
-@then("no second is kept for more work than is served in it")
-def _served(context: Any) -> None:
+@then("no second has more work reserved than it can serve")
+def _within_second(context: Any) -> None:
     assert context.compared > 0
     assert context.worst <= WORK_PER_SECOND + 1e-9, context.worst
 
@@ -206,27 +206,27 @@
     return _CountedRank.compared
 
 
-@when("a place is looked up in lines of {few:d} and of {many:d} steps")
-def _look_up(context: Any, few: int, many: int) -> None:
+@when("a rank is looked up in queues of {few:d} and of {many:d} steps")
+def _count_lookups(context: Any, few: int, many: int) -> None:
     context.counts = (_count_comparisons(few), _count_comparisons(many))
 
 
-@then("the longer line costs at most {more:d} comparisons more")
-def _comparisons(context: Any, more: int) -> None:
+@then("the longer queue needs at most {more:d} more comparisons")
+def _few_comparisons(context: Any, more: int) -> None:
     few, many = context.counts
     assert few > 0 and many - few <= more, context.counts
 
 
-@given("a cell whose workers are all taken for {seconds:d} seconds by what waits")
-def _full(context: Any, seconds: int) -> None:
+@given("a cell with busy workers and {seconds:d} seconds of waiting work")
+def _full_cell(context: Any, seconds: int) -> None:
     runs = [(index, PROCESSORS, 1, False) for index in range(WORKERS)]
     # Each waiting task of 2 s takes a whole worker.
     waiting = [(WORKERS * seconds // 2, PROCESSORS, 1, 0)]
     context.scene = _make_cell(runs, waiting)
 
 
-@given("a cell whose workers are all taken for {seconds:d} seconds by what runs")
-def _full_of_runs(context: Any, seconds: int) -> None:
+@given("a cell whose workers are busy for {seconds:d} seconds, without waiting work")
+def _busy_cell(context: Any, seconds: int) -> None:
     context.scene = _make_cell([(index, PROCESSORS, 1, False) for index in range(WORKERS)], [])
     for worker in context.scene.table.workers.values():
         for run in worker.runs.values():
@@ -234,22 +234,22 @@
             step.spec = msgspec.structs.replace(step.spec, estimated_ms=seconds * 1_000)
 
 
-@given("one more worker of {processors:d} processors that was not heard yet")
-def _not_heard(context: Any, processors: int) -> None:
+@given("one more worker with {processors:d} processors that is not reconciled yet")
+def _unreconciled_worker(context: Any, processors: int) -> None:
     scene = context.scene
     scene.add_worker("not-heard", processors)
     scene.table.workers["not-heard"].contact = WorkerContact.UNRECONCILED
     scene.table.note_availability(scene.now)
 
 
-@then("a job that is wider than all other workers together is taken")
-def _wider_than_heard(context: Any) -> None:
+@then("a job that is wider than all other workers together is admitted")
+def _wider_than_reconciled(context: Any) -> None:
     verdict = _decide(context, True, job=(1, WORKERS * PROCESSORS + 1, 1, False))
     assert isinstance(verdict, Admit), verdict
 
 
-@when("runs of drawn shares end")
-def _shares_end(context: Any) -> None:
+@when("runs with random shares of the capacity end")
+def _release_shares(context: Any) -> None:
     context.free_after = []
 
     @drawn(st.lists(st.integers(1, 9), min_size=1, max_size=12))
@@ -266,29 +266,29 @@
     check()
 
 
-@then("all is free after the last of them")
-def _all_free(context: Any) -> None:
+@then("the whole capacity is free after the last of them")
+def _all_capacity_free(context: Any) -> None:
     assert len(context.free_after) > 10
     assert all(seconds == last for seconds, last in context.free_after), context.free_after
 
 
 @given(
-    "a cell whose workers are taken for 2 seconds, and a late job that must begin as they are free"
+    "a cell whose workers are busy for 2 seconds, and a late job that must start right after that"
 )
-def _late_jobs(context: Any) -> None:
+def _cell_with_late_job(context: Any) -> None:
     runs = [(index, PROCESSORS, 1, False) for index in range(WORKERS)]
-    # It is to begin within 2 s, and can hardly: any more work before it is too much.
+    # The waiting job must start within 2 s, so any more work before it makes it expire.
     context.scene = _make_cell(runs, [(1, PROCESSORS, 1, 8)])
 
 
-@given("a job of one processor whose estimate is {seconds:d} seconds waits before it")
-def _beyond_measure(context: Any, seconds: int) -> None:
+@given("a waiting job of one processor with an estimate of {seconds:d} seconds")
+def _excessive_estimate(context: Any, seconds: int) -> None:
     step = context.scene.add_step("odd", 1, 1, 1)
     step.spec = msgspec.structs.replace(step.spec, estimated_ms=seconds * 1_000)
 
 
-@when("it is known that tasks take {times:d} times their estimates")
-def _longer(context: Any, times: int) -> None:
+@when("tasks are known to take {times:d} times their estimates")
+def _longer_durations(context: Any, times: int) -> None:
     def expected(*args: Any, **_named: Any) -> Expected:
         seconds = times * args[3] / 1_000.0
         return Expected(seconds, seconds, evidence=100.0)
@@ -298,21 +298,21 @@
     context.add_cleanup(patch.stop)
 
 
-def _decide(context: Any, owed: bool, policy: PolicySet | None = None, **traits: Any) -> Any:
+def _decide(context: Any, is_entitled: bool, policy: PolicySet | None = None, **traits: Any) -> Any:
     scene = context.scene
-    job = _job(scene, traits.pop("job", (1, 1, 1, not owed)), **traits)
+    job = _job(scene, traits.pop("job", (1, 1, 1, not is_entitled)), **traits)
     return AdmissionDecider().decide(job, _view(scene, policy), scene.now)
 
 
-@then('a job of 12 seconds of use, {owed} its tenant, is "{outcome}"')
-def _outcome(context: Any, owed: str, outcome: str) -> None:
-    verdict = _decide(context, owed == "owed to")
-    found = "taken" if isinstance(verdict, Admit) else verdict.reason.value
+@then('a job with an estimate of 2 seconds, {share} its tenant\'s share, is "{outcome}"')
+def _check_outcome(context: Any, share: str, outcome: str) -> None:
+    verdict = _decide(context, share == "within")
+    found = "admitted" if isinstance(verdict, Admit) else verdict.reason.value
     assert found == outcome, verdict
 
 
-@then("a job of a tenant whose quota never has room for it is refused")
-def _too_wide(context: Any) -> None:
+@then("a job that can never fit its tenant's quota is refused")
+def _exceeds_quota(context: Any) -> None:
     tenant = TenantPolicy(name="small", weight=1.0, quota=Needs(2_000, 0, 0))
     policy = PolicySet(tenants={"small": tenant})
     verdict = _decide(context, True, policy, job=(1, 4, 1, False), tenant="small")
@@ -320,14 +320,14 @@
     assert verdict.reason is RefusalReason.TOO_LATE
 
 
-@then("one that no worker has room for today is decided as any other")
-def _no_worker_yet(context: Any) -> None:
+@then("a job that fits no present worker is admitted while the workers are idle")
+def _no_worker_large_enough(context: Any) -> None:
     context.scene = _make_cell([], [])
     for processors in (PROCESSORS + 1, WORKERS * PROCESSORS + 1):
         assert isinstance(_decide(context, True, job=(1, processors, 1, False)), Admit)
 
 
-@given("{count:d} refused jobs of which the first comes back")
+@given("{count:d} refused jobs, more than are remembered")
 def _many_refused(context: Any, count: int) -> None:
     scene = _make_cell([], [])
     refused_jobs = context.refused_jobs = RefusedJobs()
@@ -337,43 +337,43 @@
     context.now = scene.now
 
 
-@then("no more are remembered than {count:d}, and the first counts as new")
-def _bounded(context: Any, count: int) -> None:
+@then("only {count:d} of them are remembered, and the first is forgotten")
+def _bounded_memory(context: Any, count: int) -> None:
     assert len(context.refused_jobs) == count == MAX_REFUSED_JOBS
     assert context.refused_jobs.find(job_hash("", "0")) is None
 
 
-@then("what was kept for those who did not come is free again")
-def _given_back(context: Any) -> None:
+@then("the work reserved for missed retries is released")
+def _reservations_released(context: Any) -> None:
     context.refused_jobs.release_missed(context.now + 300.0)
     assert context.refused_jobs.retry_schedule.reserved_work(SERVICE, context.now) == 0.0
     assert not list(context.refused_jobs.expected_retries(context.now + 300.0))
 
 
-@given("{count:d} refused jobs of which none comes back")
-def _refused(context: Any, count: int) -> None:
+@given("{count:d} refused jobs that are not retried")
+def _not_retried(context: Any, count: int) -> None:
     _many_refused(context, count)
     context.expires_at = max(item.expires_at for item in context.refused_jobs._jobs.values())
 
 
-@when("their last use and their seconds are over")
-def _no_use(context: Any) -> None:
-    due_at = max(item.retry_at for item in context.refused_jobs._jobs.values())
-    context.refused_jobs.release_missed(max(context.expires_at, due_at) + 10.0)
+@when("the jobs have expired and their retry times have passed")
+def _expire_jobs(context: Any) -> None:
+    retry_at = max(item.retry_at for item in context.refused_jobs._jobs.values())
+    context.refused_jobs.release_missed(max(context.expires_at, retry_at) + 10.0)
 
 
 @then("none of them is remembered")
-def _forgotten(context: Any) -> None:
+def _none_remembered(context: Any) -> None:
     assert len(context.refused_jobs) == 0
 
 
-@given("a cell whose workers stand free")
-def _free_cell(context: Any) -> None:
+@given("a cell with idle workers")
+def _idle_cell(context: Any) -> None:
     context.scene = _make_cell([], [])
 
 
-@when("a job of {tasks:d} tasks is refused there")
-def _wide_refused(context: Any, tasks: int) -> None:
+@when("a job with {tasks:d} tasks is refused by it")
+def _refuse_wide_job(context: Any, tasks: int) -> None:
     context.wide = _job(context.scene, (tasks, 1, 1, False))
     context.verdict = AdmissionDecider().decide(
         context.wide, _view(context.scene), context.scene.now
@@ -381,43 +381,43 @@
     assert isinstance(context.verdict, Refuse)
 
 
-@then("its queue is closed for 0 seconds, as a narrow job of it is taken")
-def _not_closed(context: Any) -> None:
+@then("its queue is closed for 0 seconds, and a narrow job is admitted")
+def _open_for_narrow_job(context: Any) -> None:
     assert isinstance(_decide(context, True), Admit)
     assert closed_seconds(context.wide, context.verdict) <= 0.0
 
 
-@given("a quota of which half too much is taken, and half ends after 1 and after 2 seconds")
-def _overdrawn(context: Any) -> None:
+@given("a quota overdrawn by half, with runs of half the quota that end after 1 and 2 seconds")
+def _overdrawn_quota(context: Any) -> None:
     context.curve = FreeCapacityCurve(-0.5, [(1.0, 0.5), (2.0, 0.5)])
 
 
-@then("half of it is free after 2 seconds, and none before")
-def _made_up_for(context: Any) -> None:
+@then("half of the quota is free after 2 seconds, and nothing before")
+def _free_after_excess(context: Any) -> None:
     assert context.curve.seconds_until_free(0.5) == 2.0
     assert context.curve.seconds_until_free(0.01) == 2.0
     assert context.curve.seconds_until(0.5) == 3.0
 
 
 @given("a queue that is closed for {count:d} tenants")
-def _closed_for(context: Any, count: int) -> None:
-    context.closings = QueueClosures()
+def _close_for_tenants(context: Any, count: int) -> None:
+    context.closures = QueueClosures()
     for number in range(count):
-        context.closings.note_refused(
+        context.closures.note_refused(
             ClosureScope("queue", f"tenant-{number}"), 5.0 + number, 100.0
         )
 
 
-@then("its notice names 20 of them, and closes for as long as each of them is")
-def _notice(context: Any) -> None:
-    [notice] = context.closings.notices(100.0)
+@then("its notice names 20 of them, and lasts no longer than any of their closures")
+def _check_notice(context: Any) -> None:
+    [notice] = context.closures.notices(100.0)
     assert len(notice.tenants) == MAX_NOTICE_TENANTS
     shortest = min(int(name.rpartition("-")[2]) for name in notice.tenants)
     assert notice.closed_seconds <= min(30.0, 5.0 + shortest)
 
 
-@then("nothing is closed once the longest is over")
-def _all_over(context: Any) -> None:
-    assert context.closings.notices(100.0 + 31.0) == ()
-    assert context.closings.pop_reopened(100.0 + 31.0)
-    assert context.closings.pop_reopened(100.0 + 32.0) == []
+@then("no queue is closed after the longest closure has ended")
+def _all_reopened(context: Any) -> None:
+    assert context.closures.notices(100.0 + 31.0) == ()
+    assert context.closures.pop_reopened(100.0 + 31.0)
+    assert context.closures.pop_reopened(100.0 + 32.0) == []
--- a/src/onyxspoke/core/admission/load_view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -157,8 +157,8 @@
         return pools, free_capacity
 
     def _make_pool(self, service: str, workers: list[Worker]) -> ResourcePool | None:
-        settled = [worker for worker in workers if worker.contact is WorkerContact.RECONCILED]
-        total = _sum_capacity(settled)
+        reconciled = [worker for worker in workers if worker.contact is WorkerContact.RECONCILED]
+        total = _sum_capacity(reconciled)
         if not any(total):
             return None
         waiting_work, late_work = _waiting_work(self._steps_by_service.get(service, []), total)
@@ -168,13 +168,15 @@
                 late_work.setdefault(rank_class_of(expected_retry.rank), []).append(
                     self._late_work_of(expected_retry)
                 )
-        unsettled = [worker for worker in workers if worker.contact is not WorkerContact.RECONCILED]
+        unreconciled = [
+            worker for worker in workers if worker.contact is not WorkerContact.RECONCILED
+        ]
         return ResourcePool(
             total=total,
             waiting_work=sorted(waiting_work, key=itemgetter(0)),
-            held=self._held_on(settled, total),
+            held=self._held_on(reconciled, total),
             best_case_capacity_factor=max(1.0, dominant_share(_sum_capacity(workers), total)),
-            held_on_unsettled=self._held_on(unsettled, total),
+            held_on_unreconciled=self._held_on(unreconciled, total),
             stop_seconds=self._inputs.stop_seconds,
             late_work=late_work,
             arrival_rates=self._inputs.arrivals.rates(service, self._now),
--- a/src/onyxspoke/core/admission/resource_pool.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -80,9 +80,9 @@
     held : list of HeldCapacity
         Shares held by runs.
     best_case_capacity_factor : float
-        Capacity including workers whose contact is not settled, as a multiple of ``total``.
-    held_on_unsettled : list of HeldCapacity
-        Shares held by known runs on workers whose contact is not settled.
+        Capacity including workers that are not reconciled yet, as a multiple of ``total``.
+    held_on_unreconciled : list of HeldCapacity
+        Shares held by known runs on workers that are not reconciled yet.
     stop_seconds : float
         Time that a run takes to stop when it is preempted.
     arrival_rates : dict of RankClass to float
@@ -95,7 +95,7 @@
     waiting_work: list[WaitingWork]
     held: list[HeldCapacity]
     best_case_capacity_factor: float = 1.0
-    held_on_unsettled: list[HeldCapacity] = field(default_factory=list)
+    held_on_unreconciled: list[HeldCapacity] = field(default_factory=list)
     stop_seconds: float = 0.0
     arrival_rates: dict[RankClass, float] = field(default_factory=dict)
     late_work: dict[RankClass, list[LateWork]] = field(default_factory=dict)
@@ -227,14 +227,14 @@
     def _capacity_curve(self, priority: int, *, is_best_case: bool = False) -> FreeCapacityCurve:
         """Return the capacity that becomes free for a queue of a priority.
 
-        In the best case, workers whose contact is not settled are counted, because they may be idle
+        In the best case, workers that are not reconciled yet are counted, because they may be idle
         and answer at any moment.
         """
         is_best_case = is_best_case and self.best_case_capacity_factor > 1.0
         curve = self._capacity_curves.get((priority, is_best_case))
         if curve is None:
             total = self.best_case_capacity_factor if is_best_case else 1.0
-            held = self.held + self.held_on_unsettled if is_best_case else self.held
+            held = self.held + self.held_on_unreconciled if is_best_case else self.held
             curve = self._capacity_curves[priority, is_best_case] = self._make_capacity_curve(
                 priority, total, held
             )
