--- a/src/onyxspoke/core/admission/late_job_margins.py
+++ b/src/onyxspoke/core/admission/late_job_margins.py
@@ -30,9 +30,9 @@
 
 
 class LateJobMargins:
-    """How far the late jobs of one rank class can be delayed before they expire.
+    """The time by which the late jobs of one rank class can be delayed before they expire.
 
-    One share-second of additional work is taken to delay each of them by one second.
+    One share-second of additional work is assumed to delay each of them by one second.
 
     Parameters
     ----------
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -1,4 +1,4 @@
-"""A view of the waiting, running and free capacity at one moment, for admission decisions."""
+"""A view of waiting work, running work and free capacity at one moment, for admission decisions."""
 
 from __future__ import annotations
 
--- a/src/onyxspoke/core/admission/load_view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -231,7 +231,7 @@
     def _seconds_left(self, run: Run) -> float:
         """Return the time in seconds until a run releases its resources.
 
-        Progress is reported only from time to time, so it is counted from when it was reported.
+        Progress is not known between two reports, so it is extrapolated from the last report.
         """
         spec = run.task.step.spec
         if run.state is RunState.STOPPING:
@@ -291,7 +291,7 @@
 
 
 def _cache_expected(durations: Durations) -> ExpectedDuration:
-    """Return a function that looks up each expected duration only once."""
+    """Return a function that caches the expected duration of similar tasks."""
     cache: dict[tuple[str, str, int], Expected] = {}
 
     def expected_duration(queue: str, tenant: str, estimated_ms: int) -> Expected:
--- a/src/onyxspoke/core/admission/refused_jobs.py
+++ b/src/onyxspoke/core/admission/refused_jobs.py
@@ -179,9 +179,9 @@
         A job that is told to retry after its expiry may not come, and counts as new if it does.
         """
         for refused in self._jobs.values():
-            is_of_use = refused.retry_at <= refused.expires_at
+            is_before_expiry = refused.retry_at <= refused.expires_at
             if (
-                is_of_use
+                is_before_expiry
                 and refused.slot is not None
                 and now <= refused.retry_at + LATE_TOLERANCE_SECONDS
             ):
--- a/src/onyxspoke/core/admission/waiting_work.py
+++ b/src/onyxspoke/core/admission/waiting_work.py
@@ -41,7 +41,7 @@
 
 
 def horizon_for(seconds: float) -> float:
-    """Return the horizon for a decision whose caller waits for so many seconds."""
+    """Return the first horizon that covers the time in seconds that a caller waits, or the last."""
     return HORIZONS_SECONDS[min(bisect_left(HORIZONS_SECONDS, seconds), len(HORIZONS_SECONDS) - 1)]
 
 
