--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -1,140 +1,146 @@
-"""What waits, what runs and what is free, as decisions about hand-ins see it for a moment."""
+"""A view of waiting work, running work and free capacity at one moment, for admission decisions."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from onyxspoke.core.admission.resource_pool import Ahead, ResourcePool, share_of
+from onyxspoke.core.admission.resource_pool import DurationBounds, ResourcePool, dominant_share
 from onyxspoke.core.admission.submitted_job import StepWork, SubmittedJob
 from onyxspoke.core.jobs.amounts import minus, slots_within, times
 from onyxspoke.core.jobs.model import Needs
 from onyxspoke.core.tenants.policy import TenantName
 
 
-class FreeRoom(NamedTuple):
-    """Room of one worker that nothing holds."""
+class FreeCapacity(NamedTuple):
+    """The free capacity of one worker."""
 
-    room: Needs
+    resources: Needs
     labels: tuple[str, ...]
 
 
 @dataclass(slots=True)
 class LoadView:
-    """A moment's look at the load.
+    """A view of the load at one moment.
 
     Attributes
     ----------
     made_at : float
-        When what waits was looked at, in the holder's seconds.
+        Time on the holder's clock at which the view was made.
     pools : dict of str to ResourcePool
-        By service; one without workers is not there.
+        Pool of each service that has workers.
     quotas : dict of TenantName to Needs
-        Of tenants that have one.
-    tenant_lanes : dict of TenantName to ResourcePool
-        Of those.
-    free : dict of str to list of FreeRoom
-        By service, the workers that have room, with the most processors first.
+        Quota of each tenant that has one.
+    quota_pools : dict of TenantName to ResourcePool
+        Pool of each tenant that has a quota.
+    free_capacity : dict of str to list of FreeCapacity
+        Workers of each service with free capacity, in descending order of free processors.
     """
 
     made_at: float
     pools: dict[str, ResourcePool]
     quotas: dict[TenantName, Needs] = field(default_factory=dict)
-    tenant_lanes: dict[TenantName, ResourcePool] = field(default_factory=dict)
-    free: dict[str, list[FreeRoom]] = field(default_factory=dict)
-    #: What was taken in since and has no room yet, by service.
-    _added: dict[str, Needs] = field(default_factory=dict)
+    quota_pools: dict[TenantName, ResourcePool] = field(default_factory=dict)
+    free_capacity: dict[str, list[FreeCapacity]] = field(default_factory=dict)
+    #: Needs of jobs that were admitted after the view was made, by service.
+    _admitted_needs: dict[str, Needs] = field(default_factory=dict)
 
-    def ahead_of(self, job: SubmittedJob) -> Ahead | None:
-        """Return when a job could begin, or nothing where that is not known."""
+    def start_delay(self, job: SubmittedJob) -> DurationBounds | None:
+        """Return the bounds of the delay until a job could start, or None if it is unknown."""
         pool = self.pools.get(job.service)
         if pool is None:
             return None
-        ahead = pool.ahead_of(job)
-        own = self.tenant_lanes.get(job.tenant)
-        if own is None:
-            return ahead
-        of_own = own.ahead_of(job)
-        best = max(ahead.best_seconds, of_own.best_seconds)
-        return Ahead(best, max(ahead.worst_seconds, of_own.worst_seconds))
+        delay = pool.start_delay(job)
+        quota_pool = self.quota_pools.get(job.tenant)
+        if quota_pool is None:
+            return delay
+        quota_delay = quota_pool.start_delay(job)
+        best_seconds = max(delay.best_seconds, quota_delay.best_seconds)
+        return DurationBounds(best_seconds, max(delay.worst_seconds, quota_delay.worst_seconds))
 
     def is_limited_by_quota(self, job: SubmittedJob) -> bool:
         """Return whether a job waits for its tenant's quota rather than for workers."""
-        own = self.tenant_lanes.get(job.tenant)
+        quota_pool = self.quota_pools.get(job.tenant)
         pool = self.pools.get(job.service)
-        if own is None or pool is None:
+        if quota_pool is None or pool is None:
             return False
-        return own.ahead_of(job).best_seconds > pool.ahead_of(job).best_seconds
+        return quota_pool.start_delay(job).best_seconds > pool.start_delay(job).best_seconds
 
-    def work_seconds(self, job: SubmittedJob) -> Ahead:
-        """Return how long a job itself takes: its longest chain, or more where it is wide."""
-        best, worst = job.chain_median_seconds, job.chain_upper_seconds
-        for pool in (self.pools.get(job.service), self.tenant_lanes.get(job.tenant)):
+    def execution_seconds(self, job: SubmittedJob) -> DurationBounds:
+        """Return the bounds of a job's duration once it has started.
+
+        The duration is that of the job's longest chain of steps, or longer if the job needs more
+        capacity than the pool has.
+        """
+        best_seconds, worst_seconds = job.chain_median_seconds, job.chain_upper_seconds
+        for pool in (self.pools.get(job.service), self.quota_pools.get(job.tenant)):
             if pool is not None:
                 work = pool.work_estimate(job)
-                best = max(best, work.low / pool.spare_factor)
-                worst = max(worst, work.high)
-        return Ahead(best, worst)
+                best_seconds = max(best_seconds, work.low / pool.best_case_capacity_factor)
+                worst_seconds = max(worst_seconds, work.high)
+        return DurationBounds(best_seconds, worst_seconds)
 
     def add(self, job: SubmittedJob) -> None:
-        """Count a job that was taken in since."""
+        """Count a job that was admitted after the view was made."""
         pool = self.pools.get(job.service)
         if pool is None:
             return
         pool.add(job)
-        own = self.tenant_lanes.get(job.tenant)
-        if own is not None:
-            own.add(job)
-        added = self._added.get(job.service, Needs())
+        quota_pool = self.quota_pools.get(job.tenant)
+        if quota_pool is not None:
+            quota_pool.add(job)
+        admitted_needs = self._admitted_needs.get(job.service, Needs())
         for step in job.steps:
             if step.is_first:
-                added = minus(added, times(step.needs, -step.tasks))
-        self._added[job.service] = added
+                admitted_needs = minus(admitted_needs, times(step.needs, -step.task_count))
+        self._admitted_needs[job.service] = admitted_needs
 
-    def pushes_promised(self, job: SubmittedJob) -> bool:
-        """Return whether a late job that was taken would come too late for this one."""
+    def would_expire_late_job(self, job: SubmittedJob) -> bool:
+        """Return whether admitting a job would make an admitted late job expire."""
         pool = self.pools.get(job.service)
-        return pool is not None and pool.pushes_promised(job)
+        return pool is not None and pool.would_expire_late_job(job)
 
-    def has_room_for(self, job: SubmittedJob) -> bool:
-        """Return whether every task that a job begins with has room now."""
-        workers = self.free.get(job.service, [])
-        taken = self._added.get(job.service, Needs())
+    def has_capacity_for(self, job: SubmittedJob) -> bool:
+        """Return whether all tasks of the job's first steps could start now."""
+        workers = self.free_capacity.get(job.service, [])
+        admitted_needs = self._admitted_needs.get(job.service, Needs())
         return all(
-            _fits(step, workers, taken) for step in job.steps if step.is_first
+            _fits(step, workers, admitted_needs) for step in job.steps if step.is_first
         ) and self._is_within_quota(job)
 
     def _is_within_quota(self, job: SubmittedJob) -> bool:
-        own = self.tenant_lanes.get(job.tenant)
-        if own is None:
+        quota_pool = self.quota_pools.get(job.tenant)
+        if quota_pool is None:
             return True
-        free = 1.0 - sum(held.share for held in own.held)
-        wanted = sum(
-            share_of(step.needs, own.total) * step.tasks for step in job.steps if step.is_first
+        free_share = 1.0 - sum(held.share for held in quota_pool.held)
+        needed_share = sum(
+            dominant_share(step.needs, quota_pool.total) * step.task_count
+            for step in job.steps
+            if step.is_first
         )
-        return wanted <= free
+        return needed_share <= free_share
 
 
-def _fits(step: StepWork, workers: list[FreeRoom], taken: Needs) -> bool:
-    """Return whether a step's tasks have room beside what others will take of it."""
-    missing = step.tasks
-    if any(taken):
-        missing += _tasks_displaced(step.needs, taken)
+def _fits(step: StepWork, workers: list[FreeCapacity], admitted_needs: Needs) -> bool:
+    """Return whether a step's tasks fit on the workers, beside the tasks of other admitted jobs."""
+    unplaced_tasks = step.task_count
+    if any(admitted_needs):
+        unplaced_tasks += _displaced_task_count(step.needs, admitted_needs)
     for worker in workers:
-        if worker.room.processors_milli < step.needs.processors_milli:
+        if worker.resources.processors_milli < step.needs.processors_milli:
             return False
         if step.label and step.label not in worker.labels:
             continue
-        missing -= slots_within(worker.room, step.needs)
-        if missing <= 0:
+        unplaced_tasks -= slots_within(worker.resources, step.needs)
+        if unplaced_tasks <= 0:
             return True
     return False
 
 
-def _tasks_displaced(needs: Needs, taken: Needs) -> int:
-    """Return for how many tasks there is less room, with so much of it taken."""
-    displaced = 0
-    for need, amount in zip(needs, taken, strict=True):
+def _displaced_task_count(needs: Needs, admitted_needs: Needs) -> int:
+    """Return how many tasks of this size the admitted needs may displace."""
+    displaced_tasks = 0
+    for need, admitted_amount in zip(needs, admitted_needs, strict=True):
         if need > 0:
-            displaced = max(displaced, -(-amount // need))
-    return displaced
+            displaced_tasks = max(displaced_tasks, -(-admitted_amount // need))
+    return displaced_tasks
--- a/src/onyxspoke/core/admission/load_view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -1,4 +1,4 @@
-"""Makes the view of the load from what a holder knows."""
+"""Builds the view of the load from a holder's state."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from onyxspoke.core.admission.arrivals import ArrivalMeter, RankClass, class_of
+from onyxspoke.core.admission.arrivals import ArrivalMeter, RankClass, rank_class_of
 from onyxspoke.core.admission.late_job_margins import LateWork
-from onyxspoke.core.admission.load_view import FreeRoom, LoadView
-from onyxspoke.core.admission.resource_pool import ResourcePool, RoomHeld, share_of
-from onyxspoke.core.admission.submitted_job import low_seconds
-from onyxspoke.core.admission.waiting_work import HORIZONS, WaitingWork
+from onyxspoke.core.admission.load_view import FreeCapacity, LoadView
+from onyxspoke.core.admission.resource_pool import HeldCapacity, ResourcePool, dominant_share
+from onyxspoke.core.admission.submitted_job import min_task_seconds
+from onyxspoke.core.admission.waiting_work import HORIZONS_SECONDS, WaitingWork
 from onyxspoke.core.estimates.durations import Durations
 from onyxspoke.core.estimates.expected import Expected
 from onyxspoke.core.jobs.amounts import plus
@@ -35,33 +35,34 @@
 
 _FULL_PERCENT = 100
 
-Expect = Callable[[str, str, int], Expected]
+ExpectedDuration = Callable[[str, str, int], Expected]
 
 
-class AwaitedWork(NamedTuple):
-    """Work of a refused job that was told when to come back.
+class ExpectedRetry(NamedTuple):
+    """The work of a refused job that is expected to be retried.
 
-    ``due_at`` is then, and ``last_start_at`` until when it may wait, in the holder's seconds.
+    ``retry_at`` is the time at which the caller should retry, and ``latest_start_at`` the latest
+    time at which the work can start before the job expires, both on the holder's clock.
     """
 
     service: str
     rank: StepRank
     share_seconds: float
-    due_at: float
-    last_start_at: float
+    retry_at: float
+    latest_start_at: float
 
 
 class LoadInputs(NamedTuple):
-    """What a view is made from.
+    """The state from which a view is built.
 
     Attributes
     ----------
     stop_seconds : float
-        How long a run takes to give way.
+        Time that a run takes to stop when it is preempted.
     arrivals : ArrivalMeter
-        What is taken in lately.
-    expected_retries : iterable of AwaitedWork
-        Of refused jobs that are to come back.
+        Rates of recently admitted work.
+    expected_retries : iterable of ExpectedRetry
+        Work of refused jobs that are expected to be retried.
     """
 
     steps: list[StepProgress]
@@ -70,175 +71,189 @@
     durations: Durations
     stop_seconds: float
     arrivals: ArrivalMeter
-    expected_retries: Iterable[AwaitedWork] = ()
+    expected_retries: Iterable[ExpectedRetry] = ()
 
 
-class _Waiting(NamedTuple):
-    """A step that waits: seconds of work of each task, and of waiting that it can bear."""
+class _WaitingStep(NamedTuple):
+    """A waiting step, with the duration of one task and the time that the step may still wait."""
 
     rank: StepRank
     needs: Needs
-    tasks: int
+    task_count: int
     low_seconds: float
     high_seconds: float
     slack_seconds: float
 
 
-def build_load_view(load: LoadInputs, now: float) -> LoadView:
-    """Return the load as it is now."""
-    builder = _Builder(load, now)
+def build_load_view(inputs: LoadInputs, now: float) -> LoadView:
+    """Return a view of the current load."""
+    builder = _LoadViewBuilder(inputs, now)
     return builder.build()
 
 
-class _Builder:
-    def __init__(self, load: LoadInputs, now: float) -> None:
-        self._load = load
+class _LoadViewBuilder:
+    def __init__(self, inputs: LoadInputs, now: float) -> None:
+        self._inputs = inputs
         self._now = now
-        self._expect = _remember(load.durations)
-        self._by_service: dict[str, list[_Waiting]] = {}
-        self._by_tenant: dict[TenantName, list[_Waiting]] = {}
+        self._expected_duration = _cache_expected(inputs.durations)
+        self._steps_by_service: dict[str, list[_WaitingStep]] = {}
+        self._steps_by_tenant: dict[TenantName, list[_WaitingStep]] = {}
         self._quotas = {
-            name: tenant.quota for name, tenant in load.policy.tenants.items() if any(tenant.quota)
+            name: tenant.quota
+            for name, tenant in inputs.policy.tenants.items()
+            if any(tenant.quota)
         }
 
     def build(self) -> LoadView:
-        for step in self._load.steps:
-            self._take_step(step)
-        held = [run for worker in self._load.table.workers.values() for run in worker.runs.values()]
-        tenant_lanes = self._make_tenant_lanes(held)
-        pools, free = self._make_lanes()
-        return LoadView(self._now, pools, self._quotas, tenant_lanes, free)
-
-    # What waits
-
-    def _take_step(self, step: StepProgress) -> None:
+        for step in self._inputs.steps:
+            self._add_step(step)
+        held = [
+            run for worker in self._inputs.table.workers.values() for run in worker.runs.values()
+        ]
+        quota_pools = self._make_quota_pools(held)
+        pools, free_capacity = self._make_pools()
+        return LoadView(self._now, pools, self._quotas, quota_pools, free_capacity)
+
+    # Waiting work
+
+    def _add_step(self, step: StepProgress) -> None:
         if step.spec.long_running:
             return
         spec = step.job.spec
-        queue = self._load.policy.queue_of(spec)
-        expected = self._expect(spec.queue.name, spec.tenant, step.spec.estimated_ms)
-        placed_rank = step_rank_in_queue(step, queue, self._now)
-        rank = promised_rank(placed_rank)
+        queue = self._inputs.policy.queue_of(spec)
+        expected = self._expected_duration(spec.queue.name, spec.tenant, step.spec.estimated_ms)
+        placement_rank = step_rank_in_queue(step, queue, self._now)
+        rank = rank_ignoring_lateness(placement_rank)
         needs = step.needs
-        slack = math.inf
-        if placed_rank.lateness is Lateness.LATE:
+        slack_seconds = math.inf
+        if placement_rank.lateness is Lateness.LATE:
             expires_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
-            slack = expires_at - step.expected_chain_seconds - self._now
-        low, high = low_seconds(expected), max(0.0, expected.upper_seconds)
-        waiting = _Waiting(rank, needs, len(step.waiting), low, high, slack)
+            slack_seconds = expires_at - step.expected_chain_seconds - self._now
+        low_seconds, high_seconds = min_task_seconds(expected), max(0.0, expected.upper_seconds)
+        waiting_step = _WaitingStep(
+            rank, needs, len(step.waiting), low_seconds, high_seconds, slack_seconds
+        )
         if spec.tenant in self._quotas:
-            self._by_tenant.setdefault(spec.tenant, []).append(waiting)
+            self._steps_by_tenant.setdefault(spec.tenant, []).append(waiting_step)
         if step.over_quota_since is not None:
-            # It takes none of the workers' room before its tenant has some of its quota free.
-            waiting = waiting._replace(low_seconds=0.0)
-        self._by_service.setdefault(queue.service, []).append(waiting)
+            # The step holds no worker capacity until its tenant has free quota.
+            waiting_step = waiting_step._replace(low_seconds=0.0)
+        self._steps_by_service.setdefault(queue.service, []).append(waiting_step)
 
-    # Lanes
+    # Resource pools
 
-    def _make_lanes(self) -> tuple[dict[str, ResourcePool], dict[str, list[FreeRoom]]]:
-        by_service: dict[str, list[Worker]] = {}
-        for worker in self._load.table.workers.values():
+    def _make_pools(self) -> tuple[dict[str, ResourcePool], dict[str, list[FreeCapacity]]]:
+        workers_by_service: dict[str, list[Worker]] = {}
+        for worker in self._inputs.table.workers.values():
             if worker.contact is not WorkerContact.ENDED and worker.listing is WorkerListing.READY:
-                by_service.setdefault(worker.record.service, []).append(worker)
+                workers_by_service.setdefault(worker.record.service, []).append(worker)
         pools = {}
-        free = {}
-        for service, workers in by_service.items():
-            pool = self._make_lane(service, workers)
+        free_capacity = {}
+        for service, workers in workers_by_service.items():
+            pool = self._make_pool(service, workers)
             if pool is not None:
                 pools[service] = pool
-                free[service] = self._free_room(service)
-        return pools, free
+                free_capacity[service] = self._free_capacity_of(service)
+        return pools, free_capacity
 
-    def _make_lane(self, service: str, workers: list[Worker]) -> ResourcePool | None:
-        in_use = [worker for worker in workers if worker.contact is WorkerContact.RECONCILED]
-        total = _sum_capacity(in_use)
+    def _make_pool(self, service: str, workers: list[Worker]) -> ResourcePool | None:
+        reconciled = [worker for worker in workers if worker.contact is WorkerContact.RECONCILED]
+        total = _sum_capacity(reconciled)
         if not any(total):
             return None
-        works, late = _line_work(self._by_service.get(service, []), total)
-        for expected_retries in self._load.expected_retries:
-            if expected_retries.service == service:
-                works.append(_awaited_work(expected_retries))
-                late.setdefault(class_of(expected_retries.rank), []).append(
-                    self._late(expected_retries)
+        waiting_work, late_work = _waiting_work(self._steps_by_service.get(service, []), total)
+        for expected_retry in self._inputs.expected_retries:
+            if expected_retry.service == service:
+                waiting_work.append(_retry_work(expected_retry))
+                late_work.setdefault(rank_class_of(expected_retry.rank), []).append(
+                    self._late_work_of(expected_retry)
                 )
-        others = [worker for worker in workers if worker.contact is not WorkerContact.RECONCILED]
+        unreconciled = [
+            worker for worker in workers if worker.contact is not WorkerContact.RECONCILED
+        ]
         return ResourcePool(
             total=total,
-            works=sorted(works, key=itemgetter(0)),
-            held=self._held_on(in_use, total),
-            spare_factor=max(1.0, share_of(_sum_capacity(workers), total)),
-            held_of_spare=self._held_on(others, total),
-            stop_seconds=self._load.stop_seconds,
-            late=late,
-            coming=self._load.arrivals.rates(service, self._now),
+            waiting_work=sorted(waiting_work, key=itemgetter(0)),
+            held=self._held_on(reconciled, total),
+            best_case_capacity_factor=max(1.0, dominant_share(_sum_capacity(workers), total)),
+            held_on_unreconciled=self._held_on(unreconciled, total),
+            stop_seconds=self._inputs.stop_seconds,
+            late_work=late_work,
+            arrival_rates=self._inputs.arrivals.rates(service, self._now),
         )
 
-    def _late(self, expected_retries: AwaitedWork) -> LateWork:
+    def _late_work_of(self, expected_retry: ExpectedRetry) -> LateWork:
         return LateWork(
-            slack_seconds=expected_retries.last_start_at - self._now,
-            work=expected_retries.share_seconds,
-            begins_in_seconds=expected_retries.due_at - self._now,
+            slack_seconds=expected_retry.latest_start_at - self._now,
+            work_share_seconds=expected_retry.share_seconds,
+            earliest_start_seconds=expected_retry.retry_at - self._now,
         )
 
-    def _free_room(self, service: str) -> list[FreeRoom]:
-        free = []
-        for worker in self._load.table.offered(service):
-            room = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
-            if room.processors_milli > 0 or not worker.record.capacity.processors_milli:
-                free.append(FreeRoom(room, worker.record.labels))
-        free.sort(key=lambda worker: -worker.room.processors_milli)
-        return free
-
-    def _make_tenant_lanes(self, runs: list[Run]) -> dict[TenantName, ResourcePool]:
-        held: dict[TenantName, list[RoomHeld]] = {}
+    def _free_capacity_of(self, service: str) -> list[FreeCapacity]:
+        free_capacity = []
+        for worker in self._inputs.table.offered(service):
+            resources = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
+            if resources.processors_milli > 0 or not worker.record.capacity.processors_milli:
+                free_capacity.append(FreeCapacity(resources, worker.record.labels))
+        free_capacity.sort(key=lambda worker: -worker.resources.processors_milli)
+        return free_capacity
+
+    def _make_quota_pools(self, runs: list[Run]) -> dict[TenantName, ResourcePool]:
+        held: dict[TenantName, list[HeldCapacity]] = {}
         for run in runs:
             tenant = run.task.step.job.spec.tenant
             if tenant in self._quotas:
-                held.setdefault(tenant, []).append(self._held(run, self._quotas[tenant]))
+                held.setdefault(tenant, []).append(self._held_capacity(run, self._quotas[tenant]))
         pools = {}
         for tenant, quota in self._quotas.items():
-            works, _late = _line_work(self._by_tenant.get(tenant, []), quota)
+            waiting_work, _unused = _waiting_work(self._steps_by_tenant.get(tenant, []), quota)
             pools[tenant] = ResourcePool(
-                quota, sorted(works, key=itemgetter(0)), held.get(tenant, [])
+                quota, sorted(waiting_work, key=itemgetter(0)), held.get(tenant, [])
             )
         return pools
 
-    def _held_on(self, workers: list[Worker], total: Needs) -> list[RoomHeld]:
-        return [self._held(run, total) for worker in workers for run in worker.runs.values()]
+    def _held_on(self, workers: list[Worker], total: Needs) -> list[HeldCapacity]:
+        return [
+            self._held_capacity(run, total) for worker in workers for run in worker.runs.values()
+        ]
 
-    def _held(self, run: Run, total: Needs) -> RoomHeld:
+    def _held_capacity(self, run: Run, total: Needs) -> HeldCapacity:
         spec = run.task.step.spec
-        queue = self._load.policy.queue_of(run.task.step.job.spec)
+        queue = self._inputs.policy.queue_of(run.task.step.job.spec)
         seconds = self._seconds_left(run)
-        may_give_way = (
+        is_preemptible = (
             spec.checkpointing and run.gang is None and not spec.long_running and not spec.fills
         )
-        return RoomHeld(seconds, share_of(run.needs, total), queue.priority, may_give_way)
+        return HeldCapacity(
+            seconds, dominant_share(run.needs, total), queue.priority, is_preemptible
+        )
 
     def _seconds_left(self, run: Run) -> float:
-        """Return how long a run holds its room.
+        """Return the time in seconds until a run releases its resources.
 
-        Between two reports its progress is out of date; it counts as of when it was told.
+        Progress is not known between two reports, so it is extrapolated from the last report.
         """
         spec = run.task.step.spec
         if run.state is RunState.STOPPING:
-            return max(0.0, run.stop_sent_at + self._load.stop_seconds - self._now)
+            return max(0.0, run.stop_sent_at + self._inputs.stop_seconds - self._now)
         if run.is_resumed or spec.long_running:
             return remaining_seconds(run, self._now)
         job = run.task.step.job.spec
-        whole = self._expect(job.queue.name, job.tenant, spec.estimated_ms).median_seconds
+        duration_seconds = self._expected_duration(
+            job.queue.name, job.tenant, spec.estimated_ms
+        ).median_seconds
         if not run.confirmed_at:
-            return whole
+            return duration_seconds
         if run.percent >= RELIABLE_PROGRESS_PERCENT:
-            whole = (run.progressed_at - run.confirmed_at) / run.percent * _FULL_PERCENT
-        return max(0.0, whole - (self._now - run.confirmed_at))
+            duration_seconds = (run.progressed_at - run.confirmed_at) / run.percent * _FULL_PERCENT
+        return max(0.0, duration_seconds - (self._now - run.confirmed_at))
 
 
-def promised_rank(rank: StepRank) -> StepRank:
-    """Return the place of what was promised: what is late, and still of use, does not fall back.
+def rank_ignoring_lateness(rank: StepRank) -> StepRank:
+    """Return a step's rank as if it were on time, if it is late; an expired step keeps its rank.
 
-    In the order of placement it does; then every job that is taken would push it further, until
-    it is of no use.
+    The placement order moves late steps behind those on time.  With that order in the view, every
+    admitted job would delay the late steps further, until they expire.
     """
     if rank.lateness is Lateness.LATE:
         return StepRank(
@@ -252,41 +267,41 @@
     return rank
 
 
-def _awaited_work(expected_retries: AwaitedWork) -> WaitingWork:
-    """Return the work of a job that may not come: at least none, at most all of it."""
-    return WaitingWork(expected_retries.rank, expected_retries.share_seconds, 0.0, 1.0)
+def _retry_work(expected_retry: ExpectedRetry) -> WaitingWork:
+    """Return the work of an expected retry; the lower bound is 0, because it may not come."""
+    return WaitingWork(expected_retry.rank, expected_retry.share_seconds, 0.0, 1.0)
 
 
-def _line_work(
-    steps: list[_Waiting], total: Needs
+def _waiting_work(
+    steps: list[_WaitingStep], total: Needs
 ) -> tuple[list[WaitingWork], dict[RankClass, list[LateWork]]]:
-    """Return what waits as shares of what there is, and what of it is late."""
-    works = []
-    late: dict[RankClass, list[LateWork]] = {}
+    """Return the work of waiting steps as shares of a total, and the part that is late."""
+    waiting_work = []
+    late_work: dict[RankClass, list[LateWork]] = {}
     shares: dict[Needs, float] = {}
-    for rank, needs, tasks, low, high, slack in steps:
+    for rank, needs, task_count, low_seconds, high_seconds, slack_seconds in steps:
         share = shares.get(needs)
         if share is None:
-            share = shares[needs] = share_of(needs, total)
-        works.append(WaitingWork(rank, share * tasks, low, high))
-        if slack < math.inf:
-            work = share * tasks * min(low, HORIZONS[-1])
-            late.setdefault(class_of(rank), []).append(LateWork(slack, work))
-    return works, late
+            share = shares[needs] = dominant_share(needs, total)
+        waiting_work.append(WaitingWork(rank, share * task_count, low_seconds, high_seconds))
+        if slack_seconds < math.inf:
+            work = share * task_count * min(low_seconds, HORIZONS_SECONDS[-1])
+            late_work.setdefault(rank_class_of(rank), []).append(LateWork(slack_seconds, work))
+    return waiting_work, late_work
 
 
-def _remember(durations: Durations) -> Expect:
-    """Return what expects how long tasks take, and asks once about those that are alike."""
-    known: dict[tuple[str, str, int], Expected] = {}
+def _cache_expected(durations: Durations) -> ExpectedDuration:
+    """Return a function that caches the expected duration of similar tasks."""
+    cache: dict[tuple[str, str, int], Expected] = {}
 
-    def expect(queue: str, tenant: str, estimated_ms: int) -> Expected:
+    def expected_duration(queue: str, tenant: str, estimated_ms: int) -> Expected:
         key = (queue, tenant, estimated_ms)
-        expected = known.get(key)
+        expected = cache.get(key)
         if expected is None:
-            expected = known[key] = durations.expected(queue, tenant, estimated_ms)
+            expected = cache[key] = durations.expected(queue, tenant, estimated_ms)
         return expected
 
-    return expect
+    return expected_duration
 
 
 def _sum_capacity(workers: list[Worker]) -> Needs:
--- a/src/onyxspoke/core/admission/refused_jobs.py
+++ b/src/onyxspoke/core/admission/refused_jobs.py
@@ -1,8 +1,8 @@
-"""Who was refused, and when each is to come back.
+"""Refused jobs, and the times at which they are to be retried.
 
-A job is known by a hash of its name.  The first time that it was handed in counts for its place
-and its objective when it comes again.  What is remembered is bounded, and a new holder begins
-without it; who is forgotten loses a place in the line, nothing else.
+A job is identified by a hash of its tenant and identifier.  On a retry, the time of the first
+submission determines its rank and its objective.  The number of remembered jobs is bounded, and a
+new holder starts with none; a forgotten job loses its rank, and nothing else.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from onyxspoke.core.admission.load_view_builder import AwaitedWork
-from onyxspoke.core.admission.retry_schedule import LONGEST_WAIT_SECONDS, RetrySchedule, Slot
+from onyxspoke.core.admission.load_view_builder import ExpectedRetry
+from onyxspoke.core.admission.retry_schedule import MAX_WAIT_SECONDS, RetrySchedule, RetrySlot
 from onyxspoke.core.admission.submitted_job import SubmittedJob
 from onyxspoke.core.jobs.model import JobId
 from onyxspoke.core.tenants.policy import TenantName
 
-#: Refused jobs that are remembered.
+#: Maximum number of refused jobs that are remembered.
 MAX_REFUSED_JOBS = 4_096
 HASH_BYTES = 8
-#: A job that comes back within so long after its second, in seconds, is on time.
-GRACE_SECONDS = 2.0
-#: Callers count whole seconds from an answer that was under way; so much earlier is on time, too.
-EARLY_SECONDS = 0.5
-#: They are told whole seconds, and so may come so much later than would do.
+#: A retry that comes at most this late, in seconds, is timely.
+LATE_TOLERANCE_SECONDS = 2.0
+#: A retry that comes at most this early, in seconds, is timely; covers the reply's time in transit.
+EARLY_TOLERANCE_SECONDS = 0.5
+#: Retry times are rounded up to whole seconds, which delays a retry by up to this many seconds.
 ROUNDING_SECONDS = 1.0
 
 JobHash = int
@@ -38,57 +38,63 @@
     Attributes
     ----------
     first_submitted_at : float
-        When it was first handed in.
+        Time of the first submission.
     expires_at : float
-        From when on its outcome is of no use.
+        Time at which the job expires.
+    is_entitled : bool
+        The job is within its tenant's fair share.
     refusals : int
-        How many times in a row it was refused.
-    due_at : float
-        When it is to come back.
-    slot : Slot or None
-        What is kept for it; nothing once it is late.
+        Number of consecutive refusals.
+    retry_at : float
+        Time at which the caller should retry.
+    expected_retry : ExpectedRetry
+        Work that the retry would bring.
+    slot : RetrySlot or None
+        Reservation for the retry; None once the retry is overdue.
     """
 
     first_submitted_at: float
     expires_at: float
     is_entitled: bool
     refusals: int
-    due_at: float
-    expected_retries: AwaitedWork
-    slot: Slot | None
+    retry_at: float
+    expected_retry: ExpectedRetry
+    slot: RetrySlot | None
 
     def is_on_time(self, now: float) -> bool:
-        """Return whether a job that comes now comes when it was told to."""
+        """Return whether a retry at this time is timely, neither early nor late."""
         has_slot = self.slot is not None
-        return has_slot and -EARLY_SECONDS <= now - self.due_at <= GRACE_SECONDS
+        return (
+            has_slot and -EARLY_TOLERANCE_SECONDS <= now - self.retry_at <= LATE_TOLERANCE_SECONDS
+        )
 
 
 def job_hash(tenant: TenantName, job_id: JobId) -> JobHash:
-    """Return the hash by which a job is remembered."""
+    """Return the hash that identifies a job."""
     digest = blake2b(f"{tenant}/{job_id}".encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def max_useful_retry_seconds(job: SubmittedJob, now: float) -> int:
-    """Return for how many whole seconds a refused job may stay away and be of use when it comes."""
+    """Return the maximum retry time, in whole seconds, with which a job still finishes in time."""
     seconds = job.expires_at - now - job.chain_upper_seconds - ROUNDING_SECONDS
-    return int(min(max(0.0, seconds), LONGEST_WAIT_SECONDS))
+    return int(min(max(0.0, seconds), MAX_WAIT_SECONDS))
 
 
 class RefusedJobs:
-    """Remembers refused jobs and spreads their returns over time."""
+    """Remembers refused jobs, and spreads their retries over time."""
 
     def __init__(self) -> None:
-        self._refused: dict[JobHash, RefusedJob] = {}
+        self._jobs: dict[JobHash, RefusedJob] = {}
         self.retry_schedule = RetrySchedule()
 
     def __len__(self) -> int:
-        """Return how many refused jobs are remembered."""
-        return len(self._refused)
+        """Return the number of remembered jobs."""
+        return len(self._jobs)
 
     def find(self, key: JobHash) -> RefusedJob | None:
-        """Return what is remembered of a job."""
-        return self._refused.get(key)
+        """Return the record of a refused job, or None if there is none."""
+        return self._jobs.get(key)
 
     def refuse(
         self,
@@ -96,95 +102,104 @@
         job: SubmittedJob,
         work: float,
         wait_seconds: float,
-        most: float,
+        max_reserved_work: float,
         now: float,
         *,
         is_load_known: bool = True,
     ) -> int:
-        """Remember a refused job; return after how many whole seconds it is to come back.
+        """Record a refused job, and return the retry time in whole seconds.
 
         Parameters
         ----------
         work : float
-            Of the job, in share-seconds of its service.
+            Work of the job, in share-seconds of its service.
         wait_seconds : float
-            How long it waits at least.
-        most : float
-            Of each second, what may be kept for jobs like it, in share-seconds.
+            Minimum retry time.
+        max_reserved_work : float
+            Work that may be reserved in each second for jobs of this urgency, in share-seconds.
         is_load_known : bool
-            Otherwise it is never told a second after its use for want of one with work left.
+            If false, a job for which no second is left is not told to retry after it has expired.
         """
-        former = self.forget(key)
-        if len(self._refused) >= MAX_REFUSED_JOBS:
-            self.forget(next(iter(self._refused)))
-        slot = self._keep_slot(job, work, wait_seconds, most, now, is_load_known)
-        wait = slot.wait if slot is not None else LONGEST_WAIT_SECONDS
-        self._refused[key] = RefusedJob(
+        previous = self.forget(key)
+        if len(self._jobs) >= MAX_REFUSED_JOBS:
+            self.forget(next(iter(self._jobs)))
+        slot = self._reserve_slot(job, work, wait_seconds, max_reserved_work, now, is_load_known)
+        retry_seconds = slot.retry_seconds if slot is not None else MAX_WAIT_SECONDS
+        self._jobs[key] = RefusedJob(
             first_submitted_at=job.first_submitted_at,
             expires_at=job.expires_at,
             is_entitled=not job.rank.is_over_share,
-            refusals=1 if former is None else former.refusals + 1,
-            due_at=now + wait,
-            expected_retries=_awaited(job, work, now + wait),
+            refusals=1 if previous is None else previous.refusals + 1,
+            retry_at=now + retry_seconds,
+            expected_retry=_expected_retry(job, work, now + retry_seconds),
             slot=slot,
         )
-        return wait
+        return retry_seconds
 
-    def _keep_slot(
+    def _reserve_slot(
         self,
         job: SubmittedJob,
         work: float,
         wait_seconds: float,
-        most: float,
+        max_reserved_work: float,
         now: float,
         is_load_known: bool,
-    ) -> Slot | None:
-        """Keep a second in which a job can still be of use, or else the first one after that.
+    ) -> RetrySlot | None:
+        """Reserve a second in which the job can still finish, or the first one after it expires.
 
-        In between it would be refused once more; after it, its caller may begin anew.
+        A retry in between would be refused again; after the expiry, the job counts as new.
         """
-        release_missed = self.retry_schedule.reserve_slot
-        slot = release_missed(
-            job.service, work, wait_seconds, most, now, max_useful_retry_seconds(job, now)
+        reserve = self.retry_schedule.reserve_slot
+        slot = reserve(
+            job.service,
+            work,
+            wait_seconds,
+            max_reserved_work,
+            now,
+            max_useful_retry_seconds(job, now),
         )
         if slot is None and not is_load_known:
-            wait = max(1, math.ceil(wait_seconds))
-            slot = Slot(job.service, wait, int(now + wait), ())
+            retry_seconds = max(1, math.ceil(wait_seconds))
+            slot = RetrySlot(job.service, retry_seconds, int(now + retry_seconds), ())
         if slot is None:
-            past_use = max(wait_seconds, job.expires_at - now)
-            slot = release_missed(job.service, work, past_use, most, now)
+            after_expiry_seconds = max(wait_seconds, job.expires_at - now)
+            slot = reserve(job.service, work, after_expiry_seconds, max_reserved_work, now)
         return slot
 
     def forget(self, key: JobHash) -> RefusedJob | None:
-        """Drop what is remembered of a job, as once it was taken; return it."""
-        refused = self._refused.pop(key, None)
+        """Remove and return the record of a job, for instance when the job is admitted."""
+        refused = self._jobs.pop(key, None)
         if refused is not None and refused.slot is not None:
-            self.retry_schedule.give_back(refused.slot)
+            self.retry_schedule.release(refused.slot)
         return refused
 
-    def expected_retries(self, now: float) -> Iterator[AwaitedWork]:
-        """Return the work of the jobs that may yet come back on time, and be of use.
+    def expected_retries(self, now: float) -> Iterator[ExpectedRetry]:
+        """Yield the work of refused jobs whose retry is still expected before they expire.
 
-        One that is told a second after its last use may never come, and is new if it does.
+        A job that is told to retry after its expiry may not come, and counts as new if it does.
         """
-        for refused in self._refused.values():
-            is_of_use = refused.due_at <= refused.expires_at
-            if is_of_use and refused.slot is not None and now <= refused.due_at + GRACE_SECONDS:
-                yield refused.expected_retries
+        for refused in self._jobs.values():
+            is_before_expiry = refused.retry_at <= refused.expires_at
+            if (
+                is_before_expiry
+                and refused.slot is not None
+                and now <= refused.retry_at + LATE_TOLERANCE_SECONDS
+            ):
+                yield refused.expected_retry
 
     def release_missed(self, now: float) -> None:
-        """Give back what was kept for jobs that did not come; forget what is of no more use."""
-        for key, refused in list(self._refused.items()):
-            if now <= refused.due_at + GRACE_SECONDS:
+        """Release the reservations of overdue retries, and forget those that have expired."""
+        for key, refused in list(self._jobs.items()):
+            if now <= refused.retry_at + LATE_TOLERANCE_SECONDS:
                 continue
             if now > refused.expires_at:
                 self.forget(key)
             elif refused.slot is not None:
-                self.retry_schedule.give_back(refused.slot)
+                self.retry_schedule.release(refused.slot)
                 refused.slot = None
         self.retry_schedule.forget_before(now)
 
 
-def _awaited(job: SubmittedJob, work: float, due_at: float) -> AwaitedWork:
-    last_start_at = job.expires_at - job.chain_median_seconds
-    return AwaitedWork(job.service, job.rank, work, due_at, last_start_at)
+def _expected_retry(job: SubmittedJob, work: float, retry_at: float) -> ExpectedRetry:
+    latest_start_at = job.expires_at - job.chain_median_seconds
+    return ExpectedRetry(job.service, job.rank, work, retry_at, latest_start_at)
--- a/src/onyxspoke/core/admission/submitted_job.py
+++ b/src/onyxspoke/core/admission/submitted_job.py
@@ -1,4 +1,4 @@
-"""A job that is handed in, as the decision about it sees it."""
+"""A submitted job, described for the admission decision."""
 
 from __future__ import annotations
 
@@ -15,23 +15,29 @@
     StepRank,
 )
 
-_MILLISECONDS = 1_000.0
+_MS_PER_SECOND = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class StepWork:
-    """What one step asks for.
+    """The resources and the expected duration of one step.
 
     Attributes
     ----------
     needs : Needs
-        Of one task.
+        Resources of one task.
     low_seconds, median_seconds, upper_seconds : float
-        How long one task takes; the first, at least, where many are summed up.
+        Expected duration of one task; the first is a lower bound, used when many tasks are summed.
+    is_first : bool
+        The step depends on no other step.
+    label : str
+        Label that a worker must have; empty if any worker will do.
+    is_gang : bool
+        All tasks of the step must run at the same time.
     """
 
     needs: Needs
-    tasks: int
+    task_count: int
     low_seconds: float
     median_seconds: float
     upper_seconds: float
@@ -42,24 +48,24 @@
 
 @dataclass(slots=True, eq=False)
 class SubmittedJob:
-    """A job that is handed in.
+    """A submitted job.
 
     Attributes
     ----------
     first_submitted_at : float
-        When it was handed in for the first time, in the holder's seconds.
+        Time of the first submission, on the holder's clock.
     objective_seconds : float
-        Within how long it should be done; 0 or less where nothing is asked for.
+        Time within which the job should finish; 0 or less if it has no objective.
     rank : StepRank
-        The place in the waiting line that its first step would take.
-    has_end : bool
-        It is of use once it is done: no repetitions, no tasks that last.
+        Rank that its first step would have in the waiting queue.
+    is_finite : bool
+        The job is useful once it finishes: it is neither repeated nor long-running.
     is_timely_retry : bool
-        It was refused, and comes back when it was told to.
+        The job was refused before, and is retried at the time that its caller was given.
     advice_seconds : float
-        Until the line for advice has answered about its first step.
+        Time until the advice queue has answered for its first step.
     chain_median_seconds, chain_upper_seconds : float
-        Its longest chain of steps.
+        Duration of the longest chain of dependent steps.
     """
 
     service: str
@@ -71,31 +77,34 @@
     steps: tuple[StepWork, ...]
     chain_median_seconds: float
     chain_upper_seconds: float
-    has_end: bool = True
+    is_finite: bool = True
     is_timely_retry: bool = False
     advice_seconds: float = 0.0
 
     @property
-    def on_time_until(self) -> float:
-        """The holder's second until which its outcome is on time."""
+    def objective_ends_at(self) -> float:
+        """Time on the holder's clock until which a result meets the objective."""
         return self.first_submitted_at + self.objective_seconds
 
     @property
     def expires_at(self) -> float:
-        """The holder's second after which its outcome is of no use to its caller."""
+        """Time on the holder's clock at which the job expires: its caller has given up."""
         return self.first_submitted_at + EXPIRY_FACTOR * self.objective_seconds
 
-    def is_too_wide(self, quota: Needs) -> bool:
-        """Return whether a quota, of which 0 sets no limit, certainly never lets it run."""
+    def exceeds_quota(self, quota: Needs) -> bool:
+        """Return whether the job can never run within a quota; 0 means no limit."""
         for step in self.steps:
-            together = times(step.needs, step.tasks) if step.is_gang else step.needs
-            if any(most and need > most for need, most in zip(together, quota, strict=True)):
+            simultaneous_needs = times(step.needs, step.task_count) if step.is_gang else step.needs
+            if any(
+                limit and need > limit
+                for need, limit in zip(simultaneous_needs, quota, strict=True)
+            ):
                 return True
         return False
 
 
-def low_seconds(expected: Expected) -> float:
-    """Return how long a task takes at least, as the order of what waits counts it, too."""
+def min_task_seconds(expected: Expected) -> float:
+    """Return the lower bound of a task's duration, as the queue order computes it."""
     return CERTAIN_ESTIMATE_SHARE * max(0.0, expected.median_seconds)
 
 
@@ -107,12 +116,14 @@
     *,
     is_timely_retry: bool = False,
 ) -> SubmittedJob:
-    """Return what the decision needs of a job."""
-    steps = tuple(_step_works(spec, durations))
-    median, upper = _chain(spec, steps)
-    # By the work as it is known, as the order of what waits has it.
-    objective = spec.queue.stretch * median + spec.queue.target_latency_ms / _MILLISECONDS
-    latest_start = first_submitted_at + objective - median
+    """Return the description of a job that the admission decision works on."""
+    steps = tuple(_estimate_steps(spec, durations))
+    median_seconds, upper_seconds = _longest_chain_seconds(spec, steps)
+    # The objective follows from the learned duration, as in the queue order.
+    objective_seconds = (
+        spec.queue.stretch * median_seconds + spec.queue.target_latency_ms / _MS_PER_SECOND
+    )
+    latest_start = first_submitted_at + objective_seconds - median_seconds
     rank = StepRank(False, spec.is_over_share, queue.priority, Lateness.ON_TIME, latest_start, 0)
     return SubmittedJob(
         service=queue.service,
@@ -120,39 +131,45 @@
         tenant=spec.tenant,
         rank=rank,
         first_submitted_at=first_submitted_at,
-        objective_seconds=objective,
+        objective_seconds=objective_seconds,
         steps=steps,
-        chain_median_seconds=median,
-        chain_upper_seconds=upper,
-        has_end=not spec.schedule.count and not any(step.long_running for step in spec.steps),
+        chain_median_seconds=median_seconds,
+        chain_upper_seconds=upper_seconds,
+        is_finite=not spec.schedule.count and not any(step.long_running for step in spec.steps),
         is_timely_retry=is_timely_retry,
     )
 
 
-def _step_works(spec: JobSpec, durations: Durations) -> list[StepWork]:
-    works = []
+def _estimate_steps(spec: JobSpec, durations: Durations) -> list[StepWork]:
+    step_works = []
     for step in spec.steps:
         expected = durations.expected(spec.queue.name, spec.tenant, step.estimated_ms)
-        work = StepWork(
+        step_work = StepWork(
             needs=step.needs,
-            tasks=step.task_count,
-            low_seconds=low_seconds(expected),
+            task_count=step.task_count,
+            low_seconds=min_task_seconds(expected),
             median_seconds=max(0.0, expected.median_seconds),
             upper_seconds=max(0.0, expected.upper_seconds),
             is_first=not step.depends_on,
             label=step.required_label,
             is_gang=step.gang,
         )
-        works.append(work)
-    return works
-
-
-def _chain(spec: JobSpec, works: tuple[StepWork, ...]) -> tuple[float, float]:
-    """Return the median and the upper seconds of the longest chain of steps."""
-    ends: list[tuple[float, float]] = []
-    for step, work in zip(spec.steps, works, strict=True):
-        median = max((ends[number][0] for number in step.depends_on), default=0.0)
-        upper = max((ends[number][1] for number in step.depends_on), default=0.0)
-        ends.append((median + work.median_seconds, upper + work.upper_seconds))
-    longest_median = max((end[0] for end in ends), default=0.0)
-    return longest_median, max((end[1] for end in ends), default=0.0)
+        step_works.append(step_work)
+    return step_works
+
+
+def _longest_chain_seconds(spec: JobSpec, step_works: tuple[StepWork, ...]) -> tuple[float, float]:
+    """Return the median and upper duration of the longest chain of dependent steps."""
+    chain_ends: list[tuple[float, float]] = []
+    for step, step_work in zip(spec.steps, step_works, strict=True):
+        median_seconds = max(
+            (chain_ends[dependency][0] for dependency in step.depends_on), default=0.0
+        )
+        upper_seconds = max(
+            (chain_ends[dependency][1] for dependency in step.depends_on), default=0.0
+        )
+        chain_ends.append(
+            (median_seconds + step_work.median_seconds, upper_seconds + step_work.upper_seconds)
+        )
+    longest_median_seconds = max((chain_end[0] for chain_end in chain_ends), default=0.0)
+    return longest_median_seconds, max((chain_end[1] for chain_end in chain_ends), default=0.0)
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -1,4 +1,7 @@
-"""Chooses which waiting tasks start now, and where: a pure function of what is known."""
+"""Choose which waiting tasks start now, and on which workers.
+
+The choice is a pure function of the known state of steps, workers, quotas and advice.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.advice_targets import AdviceTargetSelector, call_interval_seconds
 from onyxspoke.core.placement.advice_timing import AdviceTiming
-from onyxspoke.core.placement.capacity_seeker import PreemptionRequest, RoomSeeker
+from onyxspoke.core.placement.capacity_seeker import CapacitySeeker, PreemptionRequest
 from onyxspoke.core.placement.gang_placer import GangPlacer
 from onyxspoke.core.placement.placement_pass import PlacementPass
 from onyxspoke.core.placement.queue_order import step_rank_in_queue
 from onyxspoke.core.placement.renewal_reservations import RenewalReservations
-from onyxspoke.core.placement.reservations import RoomReservations
+from onyxspoke.core.placement.reservations import CapacityReservations
 from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
 from onyxspoke.core.placement.spreading import (
     Candidate,
@@ -28,25 +31,27 @@
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.tenants.ledger import QuotaPass
 
-#: Tasks placed in one pass at most, so that a pass stays short.
+#: The largest number of tasks placed in one pass, which bounds the duration of a pass.
 MAXIMUM_PLACEMENTS = 200
-#: A step that waits for room is looked at again after so long, in seconds.
-LOOK_AGAIN_SECONDS = 0.2
-#: Every other waiting step is looked at again after so long, in seconds, whatever is known of it:
-#: what was told, or lost, may have left it behind.
+#: A step that waits for capacity is evaluated again after this many seconds.
+REEVALUATION_SECONDS = 0.2
+#: Every other waiting step is evaluated again after this many seconds, even if no change is known
+#: that could help it.  This sweep guards against lost or missing notifications of changes.
 SWEEP_SECONDS = 1.0
-#: A gang that holds no room needs all of it at once, and is looked at so often at most, in seconds.
-GANG_PAUSE_SECONDS = 0.1
-#: Steps that are looked after in one pass while they wait, so that a pass stays short.
-MAXIMUM_LOOKED_AHEAD = 12
+#: A gang without a reservation is evaluated at most once in this many seconds, because it needs
+#: capacity for all its members at once.
+GANG_REEVALUATION_SECONDS = 0.1
+#: The largest number of steps for which one pass reserves capacity or chooses preemptions, which
+#: bounds the duration of a pass.  Gangs are not counted.
+MAXIMUM_CAPACITY_SEARCHES = 12
 
 
 class Placer:
-    """Places waiting tasks in their order; see ``queue_order``.
+    """Places waiting tasks in the order of ``queue_order``.
 
-    A step that found no room is looked at again only when a worker that is good for it has
-    gained room since: so a pass costs little however long the waiting line is.  A gang that
-    waits holds the room that it could use, so that what comes after it does not take it.
+    A step that found no free capacity is evaluated again only when a worker that it may use has
+    gained capacity since: a pass therefore costs little, however long the waiting queue is.  A
+    waiting gang reserves the capacity that it could use, so that steps behind it do not use it.
     """
 
     def __init__(
@@ -59,27 +64,29 @@
         self._minds_speed = is_speed_aware
         self._table = table
         self._advice_dispatcher = advice_dispatcher
-        #: Change number of the table at which a step was last looked at in vain.
-        self._blocked_at: dict[StepKey, int] = {}
-        self._reservations = RoomReservations(table)
-        self._seeker = RoomSeeker(advice_dispatcher, self._reservations, stop_seconds)
+        #: The table's change number at the last evaluation of each step that found no capacity.
+        self._blocked_at_change: dict[StepKey, int] = {}
+        self._reservations = CapacityReservations(table)
+        self._capacity_seeker = CapacitySeeker(advice_dispatcher, self._reservations, stop_seconds)
         self._advice_timing = AdviceTiming(table, advice_dispatcher, stop_seconds)
-        self._gangs = GangPlacer(
+        self._gang_placer = GangPlacer(
             advice_dispatcher, self._reservations, self._advice_timing, stop_seconds
         )
-        #: When a step that waits for room is looked at next, though none was gained.
-        self._look_again_at: dict[StepKey, float] = {}
-        #: When a gang that holds no room is looked at next, at the earliest.
-        self._gang_look_at: dict[StepKey, float] = {}
+        #: When each waiting step is evaluated next, even if no worker has gained capacity.
+        self._reevaluate_at: dict[StepKey, float] = {}
+        #: The earliest time of the next evaluation of each gang without a reservation.
+        self._gang_reevaluate_at: dict[StepKey, float] = {}
         self._overlooked: list[StepProgress] = []
-        #: Steps that came to wait for their tenants' quotas since the last call.
+        #: Steps that their tenants' quotas began to hold back since the last call.
         self._newly_over_quota: list[StepProgress] = []
 
     def take_preemption_requests(self) -> list[PreemptionRequest]:
-        """Return the runs that are to give way since the last call."""
-        evictions = self._seeker.evictions + self._gangs.evictions
-        self._seeker.evictions, self._gangs.evictions = [], []
-        return evictions
+        """Return the preemptions that were chosen since the last call."""
+        preemption_requests = (
+            self._capacity_seeker.preemption_requests + self._gang_placer.preemption_requests
+        )
+        self._capacity_seeker.preemption_requests, self._gang_placer.preemption_requests = [], []
+        return preemption_requests
 
     def take_overlooked(self) -> list[StepProgress]:
         """Return the steps that only the sweep found startable since the last call."""
@@ -87,132 +94,149 @@
         return overlooked
 
     def take_newly_over_quota(self) -> list[StepProgress]:
-        """Return the steps that came to wait for their tenants' quotas since the last call."""
+        """Return the steps that their tenants' quotas began to hold back since the last call."""
         steps, self._newly_over_quota = self._newly_over_quota, []
         return steps
 
     def reconsider(self, key: StepKey) -> None:
-        """Look at a step anew: what is known of it has changed."""
-        self._blocked_at.pop(key, None)
+        """Evaluate a step in the next pass, because its known state has changed."""
+        self._blocked_at_change.pop(key, None)
 
     def reconsider_all(self) -> None:
-        """Look at every step anew."""
-        self._blocked_at.clear()
+        """Evaluate every step in the next pass."""
+        self._blocked_at_change.clear()
 
     def plan(
         self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaPass, now: float
     ) -> list[StepPlacement]:
-        """Return what starts now, with the room already taken into account.
+        """Return the tasks that start now, with their workers.
 
-        Room is tracked in a scratch copy; nothing of the workers is changed.
+        The capacity that the plan uses is tracked in a scratch copy; no run is added to a worker.
         """
         self._table.note_availability(now)
-        self._forget_others({step.key for step in steps})
-        plan: list[StepPlacement] = []
-        current = PlacementPass(policy, quotas, now, is_speed_aware=self._minds_speed)
-        self._seeker.begin_pass(now)
+        self._forget_steps_not_waiting({step.key for step in steps})
+        step_placements: list[StepPlacement] = []
+        placement_pass = PlacementPass(policy, quotas, now, is_speed_aware=self._minds_speed)
+        self._capacity_seeker.begin_pass(now)
         self._advice_timing.begin_pass(now)
-        offers = _Offers(self._table)
-        changes = _Changes(self._table)
-        blocked_at: dict[StepKey, int] = {}
-        looked_ahead = count = 0
+        schedulable_by_service = _SchedulableByService(self._table)
+        capacity_gains = _CapacityGains(self._table)
+        blocked_at_change: dict[StepKey, int] = {}
+        search_count = placed_count = 0
         renewal_reservations = RenewalReservations(self._advice_dispatcher)
-        for step in renewal_reservations.steps_by_rank(steps, offers.of, current):
-            most = _tasks_within_quota(step, quotas)
+        for step in renewal_reservations.steps_by_rank(
+            steps, schedulable_by_service.for_service, placement_pass
+        ):
+            max_tasks = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
-            if step.note_quota(most == 0, now):
+            if step.note_quota(max_tasks == 0, now):
                 self._newly_over_quota.append(step)
-            if most == 0:
-                self._reservations.drop(step.key)
+            if max_tasks == 0:
+                self._reservations.release(step.key)
                 continue
             service = step.job.spec.queue.service
-            since = None if was_over_quota else self._blocked_at.get(step.key)
-            if since is not None and now < self._gang_look_at.get(step.key, -math.inf):
-                # What has changed meanwhile is looked at then.
-                blocked_at[step.key] = since
-                self._advice_timing.note_waiting(step, service, most)
+            blocked_since = None if was_over_quota else self._blocked_at_change.get(step.key)
+            if blocked_since is not None and now < self._gang_reevaluate_at.get(
+                step.key, -math.inf
+            ):
+                # The capacity gained since then is considered when the gang is evaluated next.
+                blocked_at_change[step.key] = blocked_since
+                self._advice_timing.note_waiting(step, service, max_tasks)
                 continue
-            may_look_ahead = not step.spec.gang and looked_ahead < MAXIMUM_LOOKED_AHEAD
-            is_due = now >= self._look_again_at.get(step.key, math.inf)
-            is_new = since is None or changes.may_help(step, since, self._advice_dispatcher)
-            left = most
-            if is_new or is_due:
+            may_search = not step.spec.gang and search_count < MAXIMUM_CAPACITY_SEARCHES
+            is_due = now >= self._reevaluate_at.get(step.key, math.inf)
+            may_start = blocked_since is None or capacity_gains.may_help(
+                step, blocked_since, self._advice_dispatcher
+            )
+            remaining_tasks = max_tasks
+            if may_start or is_due:
                 queue = policy.queue_of(step.job.spec)
-                schedulable = offers.of(queue.service)
-                placed = self._place_step(step, queue, schedulable, current, most)
-                self._look_again_at[step.key] = now + SWEEP_SECONDS
-                if may_look_ahead:
-                    looked_ahead += self._look_ahead(
-                        step, queue, placed, schedulable, current, most
+                schedulable = schedulable_by_service.for_service(queue.service)
+                step_placement = self._place_step(
+                    step, queue, schedulable, placement_pass, max_tasks
+                )
+                self._reevaluate_at[step.key] = now + SWEEP_SECONDS
+                if may_search:
+                    search_count += self._search_capacity(
+                        step, queue, step_placement, schedulable, placement_pass, max_tasks
                     )
-                elif placed is not None and not is_new:
+                elif step_placement is not None and not may_start:
                     self._overlooked.append(step)
-                if placed is not None:
-                    left -= len(placed.placements)
-                    plan.append(placed)
-                    quotas.take(step.job.spec.tenant, step.needs, len(placed.placements))
-                    count += len(placed.placements)
-                    if count >= MAXIMUM_PLACEMENTS:
-                        return plan
+                if step_placement is not None:
+                    remaining_tasks -= len(step_placement.placements)
+                    step_placements.append(step_placement)
+                    quotas.take(step.job.spec.tenant, step.needs, len(step_placement.placements))
+                    placed_count += len(step_placement.placements)
+                    if placed_count >= MAXIMUM_PLACEMENTS:
+                        return step_placements
             else:
-                self._reservations.hold_again(step, current.capacity)
-            blocked_at[step.key] = self._table.change_number
-            self._advice_timing.note_waiting(step, service, left)
-            renewal_reservations.note_waiting(step, left)
-        self._blocked_at = blocked_at
-        return plan
-
-    def _forget_others(self, waiting: set[StepKey]) -> None:
-        """Drop what is kept of steps that wait no longer."""
-        self._reservations.drop_others(waiting)
-        for moments in (self._look_again_at, self._gang_look_at):
-            for key in moments.keys() - waiting:
-                del moments[key]
+                self._reservations.reapply(step, placement_pass.capacity)
+            blocked_at_change[step.key] = self._table.change_number
+            self._advice_timing.note_waiting(step, service, remaining_tasks)
+            renewal_reservations.note_waiting(step, remaining_tasks)
+        self._blocked_at_change = blocked_at_change
+        return step_placements
+
+    def _forget_steps_not_waiting(self, waiting: set[StepKey]) -> None:
+        """Drop the state of steps that no longer wait."""
+        self._reservations.release_others(waiting)
+        for times_by_step in (self._reevaluate_at, self._gang_reevaluate_at):
+            for key in times_by_step.keys() - waiting:
+                del times_by_step[key]
 
     def _place_step(
         self,
         step: StepProgress,
         queue: QueuePolicy,
         schedulable: SchedulableWorkers,
-        current: PlacementPass,
-        most: int,
+        placement_pass: PlacementPass,
+        max_tasks: int,
     ) -> StepPlacement | None:
         if step.spec.gang:
-            placed = self._gangs.place(step, queue, schedulable, current)
-            if placed is None and not self._reservations.holds(step.key):
-                self._gang_look_at[step.key] = current.now + GANG_PAUSE_SECONDS
+            gang_placement = self._gang_placer.place(step, queue, schedulable, placement_pass)
+            if gang_placement is None and not self._reservations.has_reservation(step.key):
+                self._gang_reevaluate_at[step.key] = placement_pass.now + GANG_REEVALUATION_SECONDS
             else:
-                self._gang_look_at.pop(step.key, None)
-            return placed
+                self._gang_reevaluate_at.pop(step.key, None)
+            return gang_placement
         may_fit = schedulable.may_fit(step.needs)
-        candidates = self._candidates(step, queue, schedulable, current.now)
+        candidates = self._candidates(step, queue, schedulable, placement_pass.now)
         if queue.advice is not None:
             advice = self._advice_dispatcher.advice_for(step)
-            rank = step_rank_in_queue(step, queue, current.now)
+            rank = step_rank_in_queue(step, queue, placement_pass.now)
             if not advice.has_open_calls and (
                 advice.tickets
-                or self._advice_timing.should_request(step, queue, rank, may_fit, current.now)
+                or self._advice_timing.should_request(
+                    step, queue, rank, may_fit, placement_pass.now
+                )
             ):
                 target_selector = AdviceTargetSelector(
                     step,
                     schedulable,
-                    current.capacity,
+                    placement_pass.capacity,
                     self._advice_dispatcher.approval_rate(queue.name),
                 )
-                ask = _workers_to_ask(
+                worker_ids = _workers_to_ask_about(
                     queue.advice,
                     advice,
                     target_selector,
                     candidates,
-                    most,
-                    current.now,
+                    max_tasks,
+                    placement_pass.now,
                     self._advice_dispatcher,
                 )
-                self._advice_dispatcher.request_advice(step, queue.advice, ask, rank, current.now)
+                self._advice_dispatcher.request_advice(
+                    step, queue.advice, worker_ids, rank, placement_pass.now
+                )
         if not may_fit or not candidates:
             return None
         return place_tasks(
-            step, candidates, current.capacity, most, current.now, current.is_speed_aware
+            step,
+            candidates,
+            placement_pass.capacity,
+            max_tasks,
+            placement_pass.now,
+            placement_pass.is_speed_aware,
         )
 
     def _candidates(
@@ -222,74 +246,84 @@
         if queue.advice is None:
             candidates = [Candidate(worker, "") for worker in schedulable.workers.values()]
         else:
-            candidates = _with_tickets(self._advice_dispatcher.advice_for(step), schedulable, now)
+            candidates = _candidates_with_ticket(
+                self._advice_dispatcher.advice_for(step), schedulable, now
+            )
         return [item for item in candidates if has_label(item.worker, step)]
 
-    def _look_ahead(
+    def _search_capacity(
         self,
         step: StepProgress,
         queue: QueuePolicy,
-        placed: StepPlacement | None,
+        step_placement: StepPlacement | None,
         schedulable: SchedulableWorkers,
-        current: PlacementPass,
-        most: int,
+        placement_pass: PlacementPass,
+        max_tasks: int,
     ) -> int:
-        """Look after a step of which tasks still wait for room; return 1 if that was so, or 0."""
-        if placed is not None and len(placed.placements) == min(most, len(step.waiting)):
-            self._reservations.drop(step.key)
+        """Reserve capacity or preempt for a step whose tasks wait; return 1 if any do, or 0."""
+        if step_placement is not None and len(step_placement.placements) == min(
+            max_tasks, len(step.waiting)
+        ):
+            self._reservations.release(step.key)
             return 0
-        self._look_again_at[step.key] = current.now + LOOK_AGAIN_SECONDS
+        self._reevaluate_at[step.key] = placement_pass.now + REEVALUATION_SECONDS
         advice = self._advice_dispatcher.advice_for(step) if queue.advice is not None else None
         counts = task_counts_by_worker(step)
         if advice is None:
-            offered = list(schedulable.workers.values())
+            eligible_workers = list(schedulable.workers.values())
         else:
-            offered = [
+            eligible_workers = [
                 schedulable.workers[name] for name in advice.tickets if name in schedulable.workers
             ]
         workers = [
             worker
-            for worker in offered
+            for worker in eligible_workers
             if has_label(worker, step)
-            and not worker.health.is_suspected(current.now)
+            and not worker.health.is_suspected(placement_pass.now)
             and counts.get(worker.worker_id, 0) < step.most_on_a_worker
         ]
-        total = schedulable.processors_milli
-        self._seeker.seek(step, queue, workers, total, current)
+        total_processors_milli = schedulable.processors_milli
+        self._capacity_seeker.reserve_or_preempt(
+            step, queue, workers, total_processors_milli, placement_pass
+        )
         return 1
 
 
-class _Changes:
-    """The workers that have gained room, or come into use, since a change number."""
+class _CapacityGains:
+    """The workers that gained capacity, or became available, since a change number."""
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
-        self._since: dict[int, list[Worker]] = {}
-
-    def may_help(self, step: StepProgress, since: int, advice_dispatcher: AdviceDispatcher) -> bool:
-        """Return whether one of them may run a step that found no room before."""
-        changed = self._since.get(since)
-        if changed is None:
-            changed = self._since[since] = self._table.changed_since(since)
-        if not changed:
+        self._workers_by_change: dict[int, list[Worker]] = {}
+
+    def may_help(
+        self, step: StepProgress, blocked_since: int, advice_dispatcher: AdviceDispatcher
+    ) -> bool:
+        """Return whether any of these workers may run a step that found no capacity before."""
+        changed_workers = self._workers_by_change.get(blocked_since)
+        if changed_workers is None:
+            changed_workers = self._workers_by_change[blocked_since] = self._table.changed_since(
+                blocked_since
+            )
+        if not changed_workers:
             return False
         needs = step.needs
         advice = advice_dispatcher.known_advice(step.key)
-        for worker in changed:
+        for worker in changed_workers:
             if worker.fits(needs) and (advice is None or advice.may_run_on(worker.worker_id)):
                 return True
         return False
 
 
-class _Offers:
-    """The workers to which runs may go, by service."""
+class _SchedulableByService:
+    """The workers on which runs may be started, by service."""
 
     def __init__(self, table: WorkerTable) -> None:
         self._table = table
         self._by_service: dict[str, SchedulableWorkers] = {}
 
-    def of(self, service: str) -> SchedulableWorkers:
-        """Return the offer of a service."""
+    def for_service(self, service: str) -> SchedulableWorkers:
+        """Return the schedulable workers of a service, collected once in a pass."""
         schedulable = self._by_service.get(service)
         if schedulable is None:
             schedulable = SchedulableWorkers(self._table.offered(service))
@@ -298,7 +332,7 @@
 
 
 def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
-    """Return how many of a step's waiting tasks its tenant may start; of a gang all, or none."""
+    """Return how many waiting tasks of a step its tenant may start; of a gang all, or none."""
     tenant = step.job.spec.tenant
     if not tenant:
         return len(step.waiting)
@@ -308,40 +342,40 @@
     return min(slots, len(step.waiting))
 
 
-def _with_tickets(
+def _candidates_with_ticket(
     advice: StepAdvice, schedulable: SchedulableWorkers, now: float
 ) -> list[Candidate]:
     candidates = []
-    for worker_id, held in advice.tickets.items():
+    for worker_id, ticket in advice.tickets.items():
         worker = schedulable.workers.get(worker_id)
-        if worker is not None and now < held.use_before:
-            candidates.append(Candidate(worker, held.text))
+        if worker is not None and now < ticket.use_before:
+            candidates.append(Candidate(worker, ticket.text))
     return candidates
 
 
-def _workers_to_ask(
+def _workers_to_ask_about(
     policy: AdvicePolicy,
     advice: StepAdvice,
     target_selector: AdviceTargetSelector,
     candidates: list[Candidate],
-    most: int,
+    max_tasks: int,
     now: float,
     advice_dispatcher: AdviceDispatcher,
 ) -> list[str]:
-    """Return the workers about which advice is missing and would help, for ``most`` tasks."""
+    """Return the workers for which tickets are missing that would let ``max_tasks`` tasks start."""
     if not advice.tickets:
-        return target_selector.first_targets(most, advice)
-    missing = most - sum(target_selector.free_slots(item.worker) for item in candidates)
-    if missing <= 0:
+        return target_selector.first_targets(max_tasks, advice)
+    missing_count = max_tasks - sum(target_selector.free_slots(item.worker) for item in candidates)
+    if missing_count <= 0:
         return []
-    renew = (
+    choose_renewals = (
         target_selector.renewal_targets_ahead
         if advice_dispatcher.uses_fair_shares
         else target_selector.renewal_targets
     )
-    again = renew(missing, advice, now)
-    if again or now < advice.new_workers_due_at:
-        return again
-    others = target_selector.new_targets_with_capacity(missing, advice)
-    advice.new_workers_due_at = now + call_interval_seconds(policy, len(others))
-    return others
+    renewals = choose_renewals(missing_count, advice, now)
+    if renewals or now < advice.new_workers_due_at:
+        return renewals
+    unknown_workers = target_selector.new_targets_with_capacity(missing_count, advice)
+    advice.new_workers_due_at = now + call_interval_seconds(policy, len(unknown_workers))
+    return unknown_workers
