--- a/features/steps/quota_loan_steps.py
+++ b/features/steps/quota_loan_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play the lending of a quota between shards, without a network."""
+"""Steps that simulate loans of a quota between shards, without a network."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from onyxspoke.core.jobs.amounts import minus
 from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
 from onyxspoke.core.jobs.records import encode_spec, spec_key
-from onyxspoke.core.shard.actions import Decision
+from onyxspoke.core.shard.actions import DecisionLogLine
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
 from onyxspoke.core.shard.journal import restore_records
 from onyxspoke.core.shard.log_records import ShardRecord
-from onyxspoke.core.shard.worker_register import WorkerRegister
+from onyxspoke.core.shard.worker_registry import WorkerRegistry
 from onyxspoke.core.tenants.bank import QUOTA_PREFIX, Loan, QuotaBank, QuotaRequest
 from onyxspoke.core.tenants.borrower import QuotaBorrower
 
@@ -27,12 +27,12 @@
 QUOTA = 10
 
 
-def _amount(count: int) -> Needs:
+def _processor_needs(count: int) -> Needs:
     return Needs(count, 0, 0)
 
 
 class _Cell:
-    """A home shard and those that borrow from it; amounts are numbers of like tasks."""
+    """A home shard and its borrowers; amounts are numbers of equal tasks."""
 
     def __init__(self, quota: int, shards: int) -> None:
         self.now = 50.0
@@ -44,23 +44,25 @@
         self.wanted = dict.fromkeys(range(shards), 0)
         self.borrowers = {shard: QuotaBorrower(shard, 1) for shard in range(1, shards)}
 
-    def part(self, shard: int) -> int:
+    def allocation(self, shard: int) -> int:
         if shard == 0:
-            left = minus(_amount(self.quota), self.bank.lent(TENANT))
+            left = minus(_processor_needs(self.quota), self.bank.lent(TENANT))
             return minus(left, self.bank.kept_back(TENANT)).processors_milli
         return self.borrowers[shard].amount(TENANT).processors_milli
 
-    def keep(self, shard: int) -> QuotaRequest | None:
+    def next_request(self, shard: int) -> QuotaRequest | None:
         return self.borrowers[shard].keep(
             TENANT,
-            _amount(self.quota),
-            _amount(self.used[shard]),
-            _amount(self.wanted[shard]),
+            _processor_needs(self.quota),
+            _processor_needs(self.used[shard]),
+            _processor_needs(self.wanted[shard]),
             self.now,
         )
 
     def lend(self, request: QuotaRequest) -> Needs:
-        amount = self.bank.request(request, _amount(self.quota), _amount(self.used[0]), self.now)
+        amount = self.bank.request(
+            request, _processor_needs(self.quota), _processor_needs(self.used[0]), self.now
+        )
         if TENANT in self.bank.dirty:
             self.bank.dirty.clear()
             self.stored = self.bank.encode(TENANT)
@@ -84,7 +86,7 @@
 
 
 def _exchange(cell: _Cell, shard: int) -> None:
-    request = cell.keep(shard)
+    request = cell.next_request(shard)
     assert request is not None
     cell.borrowers[shard].handle_granted(request, cell.lend(request), cell.now)
 
@@ -114,7 +116,7 @@
 def _wants_nothing(context: Any, shard: int, seconds: float) -> None:
     cell = context.cell
     cell.wanted[shard] = 0
-    assert cell.keep(shard) is None
+    assert cell.next_request(shard) is None
     cell.now += seconds
     _exchange(cell, shard)
 
@@ -124,37 +126,37 @@
     context.cell.now += seconds
 
 
-@then("shard {first:d} may have {one:d} running, and shard {second:d} may have {other:d}")
-def _may_have(context: Any, first: int, one: int, second: int, other: int) -> None:
-    found = (context.cell.part(first), context.cell.part(second))
-    assert found == (one, other), found
+@then("shard {first:d} may have {count:d} running, and shard {second:d} may have {other_count:d}")
+def _may_have(context: Any, first: int, count: int, second: int, other_count: int) -> None:
+    found = (context.cell.allocation(first), context.cell.allocation(second))
+    assert found == (count, other_count), found
 
 
 @when("the quota falls to {quota:d}")
-def _falls(context: Any, quota: int) -> None:
+def _lower_quota(context: Any, quota: int) -> None:
     context.cell.quota = quota
     context.cell.wanted[1] = 0
-    context.cell.keep(1)
+    context.cell.next_request(1)
 
 
 @then("shard {shard:d} may have {count:d} running, before any answer")
-def _at_once(context: Any, shard: int, count: int) -> None:
-    assert context.cell.part(shard) == count, context.cell.part(shard)
+def _may_have_before_answer(context: Any, shard: int, count: int) -> None:
+    assert context.cell.allocation(shard) == count, context.cell.allocation(shard)
 
 
 @when("shard 1 asks for {first:d}, and then for {second:d}, and the later one arrives first")
-def _overtaken(context: Any, first: int, second: int) -> None:
+def _deliver_out_of_order(context: Any, first: int, second: int) -> None:
     requests = [
-        QuotaRequest(tenant=TENANT, shard=1, token=1, number=number, amount=_amount(count))
+        QuotaRequest(tenant=TENANT, shard=1, token=1, number=number, amount=_processor_needs(count))
         for number, count in ((8, first), (9, second))
     ]
     context.cell.lend(requests[1])
     context.cell.lend(requests[0])
 
 
-@then("{count:d} is lent")
-def _lent(context: Any, count: int) -> None:
-    assert context.cell.bank.lent(TENANT) == _amount(count)
+@then("the amount lent is {count:d}")
+def _check_amount_lent(context: Any, count: int) -> None:
+    assert context.cell.bank.lent(TENANT) == _processor_needs(count)
 
 
 @when("shard {shard:d} has a new holder")
@@ -169,32 +171,34 @@
         job_id="00000000000000a1", queue=queue, payload="", steps=(StepSpec(task_count=1),)
     )
     context.shard_context = ShardContext(ShardOptions(), token=7)
-    register = WorkerRegister(context.shard_context, 0.0)
+    worker_registry = WorkerRegistry(context.shard_context, 0.0)
     records = [
         ShardRecord(QUOTA_PREFIX + TENANT, b"\xc1 no record"),
         ShardRecord(spec_key(spec.job_id), encode_spec(spec)),
     ]
-    restore_records(context.shard_context, register, records, 10.0)
+    restore_records(context.shard_context, worker_registry, records, 10.0)
 
 
-@then("the record is named in the log, and the jobs beside it are there")
-def _named(context: Any) -> None:
-    decisions = [item for item in context.shard_context.actions if isinstance(item, Decision)]
+@then("the log names the record, and the other jobs are restored")
+def _log_names_record(context: Any) -> None:
+    decisions = [
+        item for item in context.shard_context.actions if isinstance(item, DecisionLogLine)
+    ]
     named = [dict(item.fields)["key"] for item in decisions if item.event == "record_unreadable"]
     assert named == [QUOTA_PREFIX + TENANT], named
-    assert list(context.shard_context.book.jobs) == ["00000000000000a1"]
+    assert list(context.shard_context.job_registry.jobs) == ["00000000000000a1"]
 
 
-class _Play:
-    """One cell under lost and late messages and new holders, drawn from a seed."""
+class _Simulation:
+    """A simulated cell with random lost and late messages and new holders, by seed."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.cell = _Cell(QUOTA, SHARDS)
-        self.most_used = 0
-        self._is_calm = False
-        #: Messages under way: when they arrive, and what they do then.
-        self._under_way: list[tuple[float, Any, Any]] = []
+        self.peak_usage = 0
+        self._is_lossless = False
+        #: Messages in flight: arrival time, function to call, and its arguments.
+        self._messages_in_flight: list[tuple[float, Any, Any]] = []
 
     def run(self, ticks: int) -> None:
         for _ in range(ticks):
@@ -202,15 +206,15 @@
             self._deliver()
             for shard in range(SHARDS):
                 self._work(shard)
-            self._strike()
-            self.most_used = max(self.most_used, sum(self.cell.used.values()))
+            self._replace_holders_at_random()
+            self.peak_usage = max(self.peak_usage, sum(self.cell.used.values()))
 
     def run_gangs(self, ticks: int) -> int:
-        """Have a gang wait in every shard, with nothing lost any more; return how many ran."""
+        """Queue a gang in every shard, without further losses; return how many gangs ran."""
         cell = self.cell
         cell.used = dict.fromkeys(cell.used, 0)
         cell.wanted = {shard: 7 + self.random.randrange(4) for shard in cell.wanted}
-        sizes = dict(cell.wanted)
+        gang_sizes = dict(cell.wanted)
         left: dict[int, int] = {}
         ran = 0
         for _ in range(ticks):
@@ -221,49 +225,51 @@
                     left[shard] -= 1
                     if not left[shard]:
                         cell.used[shard] = 0
-                elif cell.wanted[shard] and cell.part(shard) >= sizes[shard]:
-                    cell.used[shard], cell.wanted[shard], left[shard] = sizes[shard], 0, 10
+                elif cell.wanted[shard] and cell.allocation(shard) >= gang_sizes[shard]:
+                    cell.used[shard], cell.wanted[shard], left[shard] = gang_sizes[shard], 0, 10
                     ran += 1
-                self._keep(shard, is_calm=True)
+                self._update_quota(shard, is_lossless=True)
             assert sum(cell.used.values()) <= QUOTA
         return ran
 
-    def _keep(self, shard: int, is_calm: bool = False) -> None:
+    def _update_quota(self, shard: int, is_lossless: bool = False) -> None:
         cell = self.cell
         if shard == 0:
-            wanted, used = _amount(cell.wanted[0]), _amount(cell.used[0])
+            wanted, used = _processor_needs(cell.wanted[0]), _processor_needs(cell.used[0])
             cell.bank.note_home(TENANT, wanted, used, cell.now)
             return
-        request = cell.keep(shard)
+        request = cell.next_request(shard)
         if request is not None:
-            self._send(self._lend, request, is_calm=is_calm)
+            self._send(self._lend, request, is_lossless=is_lossless)
 
-    def _send(self, function: Any, *arguments: Any, is_calm: bool = False) -> None:
-        self._is_calm = is_calm or self._is_calm
-        if self._is_calm:
-            self._under_way.append((self.cell.now + 0.01, function, arguments))
+    def _send(self, function: Any, *arguments: Any, is_lossless: bool = False) -> None:
+        self._is_lossless = is_lossless or self._is_lossless
+        if self._is_lossless:
+            self._messages_in_flight.append((self.cell.now + 0.01, function, arguments))
         elif self.random.random() < 0.85:
-            late = 3.0 if self.random.random() < 0.1 else 0.1
-            self._under_way.append(
-                (self.cell.now + self.random.random() * late, function, arguments)
+            longest_delay_seconds = 3.0 if self.random.random() < 0.1 else 0.1
+            self._messages_in_flight.append(
+                (self.cell.now + self.random.random() * longest_delay_seconds, function, arguments)
             )
 
     def _deliver(self) -> None:
-        due = [item for item in self._under_way if item[0] <= self.cell.now]
-        self._under_way = [item for item in self._under_way if item[0] > self.cell.now]
+        due = [item for item in self._messages_in_flight if item[0] <= self.cell.now]
+        self._messages_in_flight = [
+            item for item in self._messages_in_flight if item[0] > self.cell.now
+        ]
         for _at, function, arguments in due:
             function(*arguments)
 
     def _work(self, shard: int) -> None:
-        cell, draw = self.cell, self.random
-        if draw.random() < 0.15:
-            cell.wanted[shard] = draw.randrange(0, QUOTA)
-        if cell.used[shard] and draw.random() < 0.2:
+        cell, generator = self.cell, self.random
+        if generator.random() < 0.15:
+            cell.wanted[shard] = generator.randrange(0, QUOTA)
+        if cell.used[shard] and generator.random() < 0.2:
             cell.used[shard] -= 1
-        while cell.wanted[shard] and cell.used[shard] < cell.part(shard):
+        while cell.wanted[shard] and cell.used[shard] < cell.allocation(shard):
             cell.used[shard] += 1
             cell.wanted[shard] -= 1
-        self._keep(shard)
+        self._update_quota(shard)
 
     def _lend(self, request: QuotaRequest) -> None:
         amount = self.cell.lend(request)
@@ -274,98 +280,100 @@
         if borrower._token == request.token:
             borrower.handle_granted(request, amount, self.cell.now)
 
-    def _strike(self) -> None:
+    def _replace_holders_at_random(self) -> None:
         if self.random.random() < 0.03:
             self.cell.replace_bank()
         if self.random.random() < 0.03:
             self.cell.replace_holder(self.random.randrange(1, SHARDS))
 
 
-def _any_order(
+def _ignore_request_order(
     bank: QuotaBank, request: QuotaRequest, quota: Needs, used: Needs, now: float
 ) -> Any:
     account = bank._accounts.get(request.tenant)
     loan = account.loans.get(request.shard) if account is not None else None
     if account is not None and loan is not None:
         account.loans[request.shard] = Loan(-1, -1, loan.amount)
-    return _REQUEST(bank, request, quota, used, now)
+    return _ORIGINAL_REQUEST(bank, request, quota, used, now)
 
 
-def _goes_on_using(
+def _keep_using_returned(
     borrower: QuotaBorrower, tenant: str, credit: Any, target: Needs, used: Needs, now: float
 ) -> QuotaRequest:
     before = credit.amount
-    request = _ASK(borrower, tenant, credit, target, used, now)
+    request = _ORIGINAL_ASK(borrower, tenant, credit, target, used, now)
     credit.amount = before
     return request
 
 
-def _keeps_nothing(
+def _ignore_kept_amount(
     bank: QuotaBank, request: QuotaRequest, quota: Needs, used: Needs, now: float
 ) -> Needs:
-    return _REQUEST(bank, msgspec.structs.replace(request, kept=Needs()), quota, used, now)
+    return _ORIGINAL_REQUEST(bank, msgspec.structs.replace(request, kept=Needs()), quota, used, now)
 
 
-def _offers_nothing(
+def _withhold_unused(
     borrower: QuotaBorrower, request: QuotaRequest, amount: Needs, now: float
 ) -> bool:
-    has_grown = _GRANTED(borrower, request, amount, now)
+    has_grown = _ORIGINAL_HANDLE_GRANTED(borrower, request, amount, now)
     credit = borrower._credits.get(request.tenant)
     if credit is not None:
         credit.is_short = False
     return has_grown
 
 
-_REQUEST = QuotaBank.request
-_ASK = QuotaBorrower._ask
-_GRANTED = QuotaBorrower.handle_granted
-MUTATIONS: dict[str, Any] = {
+_ORIGINAL_REQUEST = QuotaBank.request
+_ORIGINAL_ASK = QuotaBorrower._ask
+_ORIGINAL_HANDLE_GRANTED = QuotaBorrower.handle_granted
+DISABLED_MECHANISMS: dict[str, Any] = {
     "with every mechanism": ExitStack,
-    "without loans on record before they are told": lambda: mock.patch.object(
+    "without recording loans before the replies": lambda: mock.patch.object(
         QuotaBank, "encode", lambda _bank, _tenant: b""
     ),
-    "without an order of requests": lambda: mock.patch.object(QuotaBank, "request", _any_order),
-    "without ceasing to use what is returned": lambda: mock.patch.object(
-        QuotaBorrower, "_ask", _goes_on_using
+    "without ordering requests by number": lambda: mock.patch.object(
+        QuotaBank, "request", _ignore_request_order
+    ),
+    "without ceasing to use returned quota": lambda: mock.patch.object(
+        QuotaBorrower, "_ask", _keep_using_returned
     ),
-    "without leaving borrowers what they keep": lambda: mock.patch.object(
-        QuotaBank, "request", _keeps_nothing
+    "without leaving borrowers the quota they keep": lambda: mock.patch.object(
+        QuotaBank, "request", _ignore_kept_amount
     ),
-    "without an offer of what is unused": lambda: mock.patch.object(
-        QuotaBorrower, "handle_granted", _offers_nothing
+    "without returning unused quota when short": lambda: mock.patch.object(
+        QuotaBorrower, "handle_granted", _withhold_unused
     ),
-    "without counting what is lent": lambda: mock.patch.object(
+    "without counting lent quota": lambda: mock.patch.object(
         QuotaBank, "lent", lambda _bank, _tenant: Needs()
     ),
 }
 
 
 @when(
-    "{count:d} cells of 4 shards are played with lost and late messages and new holders,"
+    "{count:d} cells of 4 shards are simulated with lost and late messages and new holders,"
     " {mechanism}"
 )
-def _play(context: Any, count: int, mechanism: str) -> None:
-    context.plays = []
+def _simulate(context: Any, count: int, mechanism: str) -> None:
+    context.simulations = []
     context.mechanism = mechanism
-    with MUTATIONS[mechanism]():
+    with DISABLED_MECHANISMS[mechanism]():
         for seed in range(count):
-            play = _Play(seed)
-            play.run(200)
-            context.plays.append(play)
+            simulation = _Simulation(seed)
+            simulation.run(200)
+            context.simulations.append(simulation)
 
 
-@then("the quota was {kept}, and used to {used:g} at least")
-def _kept(context: Any, kept: str, used: float) -> None:
-    most = [play.most_used for play in context.plays]
-    assert (max(most) <= QUOTA) is (kept == "kept"), max(most)
-    assert sum(min(item, QUOTA) for item in most) / len(most) >= used * QUOTA
+@then("the quota was {kept}, and at least {used:g} of it was used")
+def _check_quota_use(context: Any, kept: str, used: float) -> None:
+    peak_usages = [simulation.peak_usage for simulation in context.simulations]
+    assert (max(peak_usages) <= QUOTA) is (kept == "kept"), max(peak_usages)
+    assert sum(min(item, QUOTA) for item in peak_usages) / len(peak_usages) >= used * QUOTA
 
 
 @when("a gang of 7 to 10 tasks then waits in every shard for {seconds:d} seconds")
-def _gangs(context: Any, seconds: int) -> None:
+def _run_gangs(context: Any, seconds: int) -> None:
     ticks = int(seconds / TICK_SECONDS)
-    with MUTATIONS[context.mechanism]():
-        context.gangs_run = [play.run_gangs(ticks) for play in context.plays]
+    with DISABLED_MECHANISMS[context.mechanism]():
+        context.gangs_run = [simulation.run_gangs(ticks) for simulation in context.simulations]
 
 
 @then("all of the gangs have run")
--- /dev/null
+++ b/src/onyxspoke/core/placement/capacity_seeker.py
@@ -0,0 +1,187 @@
+"""Reserve capacity, or choose runs to preempt, for steps whose tasks found no free capacity.
+
+Each step considers one worker at a time: the worker that is expected to have enough free capacity
+first.  Capacity that is free now or within a moment is reserved, so that later steps do not use
+it.  If no worker will have capacity soon, runs of lower-priority queues are preempted, but only
+once the step has a ticket that is still valid when the capacity becomes free.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from onyxspoke.core.jobs.model import QueuePolicy
+from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
+from onyxspoke.core.placement.advice_targets import MINIMUM_WORKERS_PER_CALL
+from onyxspoke.core.placement.forecast import CapacityForecast
+from onyxspoke.core.placement.placement_pass import PlacementPass
+from onyxspoke.core.placement.preemption import Preemption, choose_preemption
+from onyxspoke.core.placement.queue_order import Lateness, step_rank_in_queue
+from onyxspoke.core.placement.reservations import CapacityReservations, MemberSlots
+from onyxspoke.core.placement.workers import Worker
+
+#: Capacity that is expected to be free within this many seconds is reserved.
+RESERVE_AHEAD_SECONDS = 0.6
+#: Runs are preempted only if capacity would otherwise become free later than this, in seconds.
+#: Stopping a run, observing its end and restarting the preempted task take about as long.
+PREEMPT_IF_LATER_SECONDS = 1.0
+#: Runs are preempted only for a ticket that stays valid for this many seconds after their stop:
+#: the time for the poll that observes their end, and for the start order.
+TICKET_MARGIN_SECONDS = 0.45
+
+
+@dataclass(slots=True)
+class PreemptionRequest:
+    """A preemption, and the step for which it frees capacity."""
+
+    step: StepProgress
+    preemption: Preemption
+
+
+class CapacitySeeker:
+    """Reserves capacity, or chooses runs to preempt, for steps that wait for capacity.
+
+    Parameters
+    ----------
+    stop_seconds : float
+        The longest time that stopping a run takes, in seconds.
+    """
+
+    def __init__(
+        self,
+        advice_dispatcher: AdviceDispatcher,
+        reservations: CapacityReservations,
+        stop_seconds: float,
+    ) -> None:
+        self._advice_dispatcher = advice_dispatcher
+        self._reservations = reservations
+        self._stop_seconds = stop_seconds
+        self._forecast = CapacityForecast(stop_seconds, 0.0)
+        self.preemption_requests: list[PreemptionRequest] = []
+
+    def begin_pass(self, now: float) -> None:
+        """Discard the forecast of the previous placement pass."""
+        self._forecast = CapacityForecast(self._stop_seconds, now)
+
+    def reserve_or_preempt(
+        self,
+        step: StepProgress,
+        queue: QueuePolicy,
+        workers: list[Worker],
+        total_processors_milli: int,
+        placement_pass: PlacementPass,
+    ) -> None:
+        """Reserve capacity for a step, or choose runs to preempt for it.
+
+        Parameters
+        ----------
+        workers : list of Worker
+            The workers that may run the step, whether or not they have free capacity.
+        total_processors_milli : int
+            The processors of the step's service, in thousandths of a processor.
+        """
+        needs = step.needs
+        forecasts = sorted(
+            (
+                self._forecast.capacity_expected_at(worker, needs, placement_pass.capacity),
+                worker.worker_id,
+            )
+            for worker in workers
+        )
+        if not forecasts:
+            self._reservations.release(step.key)
+            return
+        workers_by_id = {worker.worker_id: worker for worker in workers}
+        earliest_at, earliest_worker_id = forecasts[0]
+        earliest_worker = workers_by_id[earliest_worker_id]
+        if earliest_at - placement_pass.now > PREEMPT_IF_LATER_SECONDS:
+            preempted_worker = self._preempt_for(step, queue, workers, placement_pass)
+            if preempted_worker is not None:
+                earliest_worker, earliest_at = (
+                    preempted_worker,
+                    placement_pass.now + self._stop_seconds,
+                )
+        may_reserve = self._reservations.has_reservation(
+            step.key
+        ) or self._reservations.may_reserve_more(total_processors_milli)
+        if may_reserve and earliest_at - placement_pass.now <= RESERVE_AHEAD_SECONDS:
+            self._reservations.reserve(
+                step, [MemberSlots(earliest_worker, 1)], placement_pass.capacity, placement_pass.now
+            )
+        else:
+            self._reservations.release(step.key)
+
+    def _preempt_for(
+        self,
+        step: StepProgress,
+        queue: QueuePolicy,
+        workers: list[Worker],
+        placement_pass: PlacementPass,
+    ) -> Worker | None:
+        """Choose runs to preempt; return their worker, or ``None`` if no preemption helps."""
+        rank = step_rank_in_queue(step, queue, placement_pass.now)
+        if rank.is_over_share or rank.lateness is Lateness.EXPIRED:
+            return None
+        if queue.advice is not None:
+            tickets = self._advice_dispatcher.advice_for(step).tickets
+            needed_until = placement_pass.now + self._stop_seconds + TICKET_MARGIN_SECONDS
+            workers_with_ticket = [
+                worker for worker in workers if tickets[worker.worker_id].use_before > needed_until
+            ]
+            if not workers_with_ticket:
+                self._request_tickets(step, queue, workers, placement_pass)
+                return None
+            workers = workers_with_ticket
+        preemption = choose_preemption(
+            queue.priority,
+            step.needs,
+            workers,
+            placement_pass.capacity,
+            placement_pass.policy,
+            placement_pass.now,
+        )
+        if preemption is None:
+            return None
+        self.preemption_requests.append(PreemptionRequest(step, preemption))
+        return preemption.worker
+
+    def _request_tickets(
+        self,
+        step: StepProgress,
+        queue: QueuePolicy,
+        workers: list[Worker],
+        placement_pass: PlacementPass,
+    ) -> None:
+        advice = self._advice_dispatcher.advice_for(step)
+        if queue.advice is None or advice.has_open_calls:
+            return
+        if self._advice_dispatcher.uses_fair_shares:
+            workers = _preemption_workers(step, queue, workers, placement_pass)
+        worker_ids = [worker.worker_id for worker in workers]
+        rank = step_rank_in_queue(step, queue, placement_pass.now)
+        self._advice_dispatcher.request_advice(
+            step, queue.advice, worker_ids, rank, placement_pass.now
+        )
+
+
+def _preemption_workers(
+    step: StepProgress, queue: QueuePolicy, workers: list[Worker], placement_pass: PlacementPass
+) -> list[Worker]:
+    """Return the workers to ask about, the one with the cheapest preemption first.
+
+    The list has at most ``MINIMUM_WORKERS_PER_CALL`` workers; it is empty if no run can be
+    preempted.
+    """
+    cheapest = choose_preemption(
+        queue.priority,
+        step.needs,
+        workers,
+        placement_pass.capacity,
+        placement_pass.policy,
+        placement_pass.now,
+    )
+    if cheapest is None:
+        return []
+    other_workers = [worker for worker in workers if worker is not cheapest.worker]
+    return [cheapest.worker, *other_workers][:MINIMUM_WORKERS_PER_CALL]
--- a/src/onyxspoke/core/placement/placement_pass.py
+++ b/src/onyxspoke/core/placement/placement_pass.py
@@ -1,11 +1,11 @@
-"""What the parts of one pass of placement share."""
+"""State that the components of one placement pass share."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 from onyxspoke.core.jobs.policy import PolicySet
-from onyxspoke.core.placement.room import ScratchRoom
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.tenants.ledger import QuotaPass
 
 
@@ -18,17 +18,17 @@
     policy : PolicySet
         The configuration in force.
     quotas : QuotaPass
-        What tenants may still start.
+        What each tenant may still start within its quota.
     now : float
-        The moment of the pass.
-    room : ScratchRoom
-        What the pass has taken or held so far.
-    minds_speed : bool
-        Whether workers' speeds count.
+        The time of the pass.
+    capacity : ScratchCapacity
+        The free capacity of the workers, less what the pass has already used or reserved.
+    is_speed_aware : bool
+        Whether the speeds of workers affect the choice among them.
     """
 
     policy: PolicySet
     quotas: QuotaPass
     now: float
-    room: ScratchRoom = field(default_factory=ScratchRoom)
-    minds_speed: bool = True
+    capacity: ScratchCapacity = field(default_factory=ScratchCapacity)
+    is_speed_aware: bool = True
--- /dev/null
+++ b/src/onyxspoke/core/shard/run_reconciler.py
@@ -0,0 +1,190 @@
+"""Reconciles runs with workers' reports of running and ended runs, and resolves missing ones."""
+
+from __future__ import annotations
+
+from onyxspoke.core.jobs.model import RunKey
+from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
+from onyxspoke.core.jobs.states import RunEnd, RunState, TaskState
+from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
+from onyxspoke.core.placement.workers import Worker
+from onyxspoke.core.shard.context import ShardContext
+from onyxspoke.core.shard.orders import EndReport, HoldResult, RunningReport
+from onyxspoke.core.shard.run_manager import RunManager
+
+
+class RunReconciler:
+    """Reconciles the holder's runs with the lists that workers report.
+
+    Parameters
+    ----------
+    context : ShardContext
+        State of the holder.
+    run_manager : RunManager
+        Stops and ends runs.
+    """
+
+    def __init__(self, context: ShardContext, run_manager: RunManager) -> None:
+        self._context = context
+        self._run_manager = run_manager
+
+    def reconcile(self, worker: Worker, result: HoldResult, sent_at: float, now: float) -> None:
+        """Process a worker's lists of runs and ends; the hold was sent at ``sent_at``."""
+        is_latest = result.clock_ms >= worker.listed_clock_ms
+        for report in result.ended:
+            if report.number > worker.processed_through:
+                worker.processed_through = report.number
+                self._process_end(worker, report, now)
+        if not is_latest:
+            self._log_outdated_list(worker, result)
+            return
+        worker.listed_clock_ms = result.clock_ms
+        listed_keys = set()
+        for running in result.running:
+            listed_keys.add(running.run)
+            self._process_running(worker, running, now)
+        for key in [key for key in worker.orphan_runs if key not in listed_keys]:
+            del worker.orphan_runs[key]
+            self._context.needs_placement = True
+        if result.is_complete:
+            self._resolve_missing_runs(worker, listed_keys, result.clock_ms, sent_at, now)
+
+    def _log_outdated_list(self, worker: Worker, result: HoldResult) -> None:
+        """Log that a list is ignored because its clock reading is lower than an earlier one's."""
+        self._context.log(
+            "list_out_of_order",
+            worker=worker.worker_id,
+            born_ms=result.born_ms,
+            clock_ms=result.clock_ms,
+            listed_clock_ms=worker.listed_clock_ms,
+            running=len(result.running),
+            ended=len(result.ended),
+            runs=len(worker.runs),
+            seen_through=worker.processed_through,
+            told_through=worker.acknowledged_through,
+        )
+
+    def _process_end(self, worker: Worker, report: EndReport, now: float) -> None:
+        run = worker.runs.get(report.run)
+        if run is not None:
+            self._context.job_registry.task_begun(run.task, now)
+            self._run_manager.note_checkpoint(run.task, report.checkpoint)
+            self._run_manager.log_end(run, report)
+            self._context.durations.note_end(run, report.end, now)
+            self._run_manager.end_run(run, report.end, now)
+        elif report.run not in worker.ended_runs:
+            self._process_unknown_end(worker, report, now)
+
+    def _process_unknown_end(self, worker: Worker, report: EndReport, now: float) -> None:
+        """Process the end of a run that a previous holder started."""
+        task = self._context.job_registry.find_task(report.run.task)
+        if task is None or task.state is TaskState.DONE or task.step.job.state.is_final:
+            return
+        step = task.step
+        step.last_number = max(step.last_number, report.run.number)
+        self._context.job_registry.task_begun(task, now)
+        self._run_manager.note_checkpoint(task, report.checkpoint)
+        self._context.log(
+            "end_recovered",
+            worker=worker.worker_id,
+            task=task_log_name(report.run),
+            run=report.run.number,
+            how=report.end.value,
+        )
+        is_final_success = report.end is RunEnd.DONE and not step.spec.long_running
+        if is_final_success and task.run is None:
+            self._run_manager.complete_task(task, now)
+        elif report.end is RunEnd.FAILED:
+            task.failed_on = worker.worker_id
+            self._context.job_registry.task_failed(task, report.run.number, now)
+            self._run_manager.stop_runs_if_job_ended(step, now)
+        self._context.needs_placement = True
+
+    def _process_running(self, worker: Worker, report: RunningReport, now: float) -> None:
+        run = worker.runs.get(report.run)
+        if run is None:
+            self._process_unknown_run(worker, report, now)
+            return
+        if run.state in (RunState.STARTING, RunState.UNCERTAIN):
+            self._run_manager.confirm(run, now)
+        if report.percent != run.percent:
+            run.percent = report.percent
+            run.progressed_at = now
+            self._context.durations.note_progress(run, now)
+        run.listed_at = now
+        run.usage = report.usage
+        if report.checkpoint:
+            checkpoint_holder(run.task).checkpoint = report.checkpoint
+
+    def _process_unknown_run(self, worker: Worker, report: RunningReport, now: float) -> None:
+        """Adopt a run of a previous holder, or stop it."""
+        ended = worker.ended_runs.get(report.run)
+        if ended is RunEnd.ABANDONED:
+            self._run_manager.stop_orphan_run(worker, report.run, now)
+        if ended is not None:
+            return
+        task = self._context.job_registry.find_task(report.run.task)
+        may_adopt = (
+            task is not None
+            and task.run is None
+            and task.state is not TaskState.DONE
+            and not task.step.job.state.is_final
+        )
+        if not may_adopt or task is None:
+            self._run_manager.stop_orphan_run(worker, report.run, now)
+            return
+        self._adopt(worker, task, report, now)
+
+    def _adopt(self, worker: Worker, task: TaskProgress, report: RunningReport, now: float) -> None:
+        step = task.step
+        gang = self._find_or_add_gang(step, report.run.number) if step.spec.gang else None
+        run = Run(task, report.run.number, worker, now, gang)
+        run.move_to(RunState.RUNNING)
+        run.confirmed_at = now
+        run.percent = report.percent
+        run.is_resumed = True
+        step.last_number = max(step.last_number, run.number)
+        task.run = run
+        if report.checkpoint:
+            checkpoint_holder(task).checkpoint = report.checkpoint
+        if task.placed_on != worker.worker_id:
+            # Record the placement, so that a later holder knows it, too.
+            self._context.job_registry.dirty[step.job.job_id] = None
+        self._run_manager.reserve_capacity(run)
+        self._context.job_registry.task_started(task)
+        self._context.job_registry.task_begun(task, now)
+        self._run_manager.log_run("run_adopted", run)
+        if gang is not None and gang.is_broken:
+            self._run_manager.stop(run, now, "gang_broken")
+
+    def _find_or_add_gang(self, step: StepProgress, number: int) -> GangRun:
+        gang = self._run_manager.gangs.get(step.key)
+        if gang is None or gang.is_over:
+            gang = self._run_manager.gangs[step.key] = GangRun(step, number)
+        elif gang.number != number:
+            gang.is_broken = True
+        return gang
+
+    def _resolve_missing_runs(
+        self, worker: Worker, listed_keys: set[RunKey], clock_ms: int, sent_at: float, now: float
+    ) -> None:
+        """Resolve runs that a worker lists neither as running nor as ended."""
+        for run in list(worker.runs.values()):
+            if run.key in listed_keys or run.state is RunState.PLANNED:
+                continue
+            if run.confirmed_at:
+                if run.confirmed_at < sent_at:
+                    self._run_manager.log_run("run_missing", run)
+                    self._run_manager.end_run(run, RunEnd.ABANDONED, now)
+            elif clock_ms > run.start_valid_until_ms or 0 < run.stop_answered_at < sent_at:
+                self._run_manager.log_run("start_settled", run, started=0)
+                self._run_manager.end_run(run, RunEnd.NOT_STARTED, now)
+            elif run.state is RunState.UNCERTAIN:
+                self._run_manager.stop(run, now, "start_unanswered")
+
+    def settle_worker(self, worker: Worker, now: float) -> None:
+        """Resolve tasks in doubt on a worker whose runs are all known now."""
+        steps = self._context.job_registry.settle_worker(worker.worker_id, now)
+        if steps:
+            self._context.needs_placement = True
+        keys = {step.key for step in steps if not step.in_doubt}
+        self._run_manager.stop_incomplete_gangs(now, keys)
