--- a/features/steps/advice_failure_steps.py
+++ b/features/steps/advice_failure_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import given as for_all
 from hypothesis import strategies as st
 
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.advice_queue import AdviceCall
@@ -363,7 +363,7 @@
     waiting = [call.progress for call in harness.dispatcher._queue]
     context.unneeded = placed, over_quota, expired = waiting[3], waiting[5], waiting[7]
     _mark_placed(placed)
-    over_quota.note_quota(True, harness.now)
+    over_quota.set_over_quota(True, harness.now)
     expired.due_at -= 1_000.0
     for call in harness.dispatcher._queue:
         call.rank_valid_until = harness.now
--- a/features/steps/naive_advice.py
+++ b/features/steps/naive_advice.py
@@ -34,7 +34,7 @@
         self.retry_at: dict[Any, float] = {}
         self.places = EntryPartition()
         self.slowness = 1.0
-        self.last_number = 0
+        self.last_run_number = 0
 
     def set_advice_entries(self, entry_names: list[str], now: float) -> None:
         removed_names = set(self.entry_names) - set(entry_names)
@@ -48,10 +48,10 @@
     def request_advice(self, step: Any, seconds: float, rank: Any, now: float) -> None:
         if self.open_call_counts.get(step, 0) > 0 or now < self.retry_at.get(step, 0.0):
             return
-        self.last_number += 1
+        self.last_run_number += 1
         self.open_call_counts[step] = self.open_call_counts.get(step, 0) + 1
         self.places.record_call(seconds, now)
-        self.queued.append(_Call(self.last_number, step, seconds, rank))
+        self.queued.append(_Call(self.last_run_number, step, seconds, rank))
 
     def dispatch(self, now: float) -> list[tuple[int, str]]:
         for call in [call for call in self.in_flight if now >= call.overdue_at]:
--- a/features/steps/preemption_steps.py
+++ b/features/steps/preemption_steps.py
@@ -9,11 +9,11 @@
 from behave import given, then, when
 from placement_steps import MILLI, _Scene
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.preemption import choose_preemption
-from onyxspoke.core.placement.scratch_capacity import ScratchCapacity, slots_within
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity, count_fitting_tasks
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
 
 TRAITS: dict[str, dict[str, bool]] = {
@@ -143,7 +143,7 @@
             run = scene.start(step, 0, worker)
             run.move_to(RunState.RUNNING)
             run.confirmed_at = scene.now - rng.choice([0.0, 0.5, 1.7])
-    needs = Needs(rng.randint(3, 16) * MILLI, 100, 0)
+    needs = ResourceVector(rng.randint(3, 16) * MILLI, 100, 0)
     workers = [item for item in scene.table.workers.values() if not item.fits(needs)]
     found = choose_preemption(1, needs, workers, ScratchCapacity(), PolicySet(), scene.now)
     return (
@@ -154,7 +154,7 @@
     )
 
 
-def _exhaustive_search(worker: Any, needs: Needs, now: float) -> bool:
+def _exhaustive_search(worker: Any, needs: ResourceVector, now: float) -> bool:
     """Return whether trying every set of runs finds a set that must be preempted and is enough."""
     ending_soon, preemptible = [], []
     for run in worker.runs.values():
@@ -200,5 +200,5 @@
             if run in found.runs or (not run.task.step.spec.long_running and left < 0.6):
                 free += run.needs.processors_milli
         for run in found.runs:
-            left = Needs(free - run.needs.processors_milli, 1_000_000, 0)
-            assert slots_within(left, needs) == 0, (needs, found)
+            left = ResourceVector(free - run.needs.processors_milli, 1_000_000, 0)
+            assert count_fitting_tasks(left, needs) == 0, (needs, found)
--- a/features/steps/quota_loan_steps.py
+++ b/features/steps/quota_loan_steps.py
@@ -10,16 +10,16 @@
 import msgspec
 from behave import given, then, when
 
-from onyxspoke.core.jobs.amounts import minus
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.records import encode_spec, spec_key
+from onyxspoke.core.jobs.resource_vectors import subtract_vectors
 from onyxspoke.core.shard.actions import DecisionLogLine
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
 from onyxspoke.core.shard.journal import restore_records
 from onyxspoke.core.shard.log_records import ShardRecord
 from onyxspoke.core.shard.worker_registry import WorkerRegistry
-from onyxspoke.core.tenants.bank import QUOTA_PREFIX, Loan, QuotaBank, QuotaRequest
-from onyxspoke.core.tenants.borrower import QuotaBorrower
+from onyxspoke.core.tenants.quota_borrower import QuotaBorrower
+from onyxspoke.core.tenants.quota_lender import QUOTA_PREFIX, Loan, QuotaLender, QuotaRequest
 
 TENANT = "one"
 TICK_SECONDS = 0.05
@@ -27,8 +27,8 @@
 QUOTA = 10
 
 
-def _processor_needs(count: int) -> Needs:
-    return Needs(count, 0, 0)
+def _processor_needs(count: int) -> ResourceVector:
+    return ResourceVector(count, 0, 0)
 
 
 class _Cell:
@@ -37,7 +37,7 @@
     def __init__(self, quota: int, shards: int) -> None:
         self.now = 50.0
         self.quota = quota
-        self.bank = QuotaBank(0)
+        self.bank = QuotaLender(0)
         self.stored = b""
         self.token = 1
         self.used = dict.fromkeys(range(shards), 0)
@@ -46,12 +46,14 @@
 
     def allocation(self, shard: int) -> int:
         if shard == 0:
-            left = minus(_processor_needs(self.quota), self.bank.lent(TENANT))
-            return minus(left, self.bank.kept_back(TENANT)).processors_milli
+            left = subtract_vectors(_processor_needs(self.quota), self.bank.lent(TENANT))
+            return subtract_vectors(
+                left, self.bank.reserved_for_other_shards(TENANT)
+            ).processors_milli
         return self.borrowers[shard].amount(TENANT).processors_milli
 
     def next_request(self, shard: int) -> QuotaRequest | None:
-        return self.borrowers[shard].keep(
+        return self.borrowers[shard].next_request(
             TENANT,
             _processor_needs(self.quota),
             _processor_needs(self.used[shard]),
@@ -59,7 +61,7 @@
             self.now,
         )
 
-    def lend(self, request: QuotaRequest) -> Needs:
+    def lend(self, request: QuotaRequest) -> ResourceVector:
         amount = self.bank.request(
             request, _processor_needs(self.quota), _processor_needs(self.used[0]), self.now
         )
@@ -69,7 +71,7 @@
         return amount
 
     def replace_bank(self) -> None:
-        self.bank = QuotaBank(0)
+        self.bank = QuotaLender(0)
         self.bank.restore(TENANT, self.stored)
 
     def replace_holder(self, shard: int) -> None:
@@ -236,7 +238,7 @@
         cell = self.cell
         if shard == 0:
             wanted, used = _processor_needs(cell.wanted[0]), _processor_needs(cell.used[0])
-            cell.bank.note_home(TENANT, wanted, used, cell.now)
+            cell.bank.update_home_demand(TENANT, wanted, used, cell.now)
             return
         request = cell.next_request(shard)
         if request is not None:
@@ -275,7 +277,7 @@
         amount = self.cell.lend(request)
         self._send(self._granted, request, amount)
 
-    def _granted(self, request: QuotaRequest, amount: Needs) -> None:
+    def _granted(self, request: QuotaRequest, amount: ResourceVector) -> None:
         borrower = self.cell.borrowers[request.shard]
         if borrower._token == request.token:
             borrower.handle_granted(request, amount, self.cell.now)
@@ -288,7 +290,11 @@
 
 
 def _ignore_request_order(
-    bank: QuotaBank, request: QuotaRequest, quota: Needs, used: Needs, now: float
+    bank: QuotaLender,
+    request: QuotaRequest,
+    quota: ResourceVector,
+    used: ResourceVector,
+    now: float,
 ) -> Any:
     account = bank._accounts.get(request.tenant)
     loan = account.loans.get(request.shard) if account is not None else None
@@ -298,7 +304,12 @@
 
 
 def _keep_using_returned(
-    borrower: QuotaBorrower, tenant: str, credit: Any, target: Needs, used: Needs, now: float
+    borrower: QuotaBorrower,
+    tenant: str,
+    credit: Any,
+    target: ResourceVector,
+    used: ResourceVector,
+    now: float,
 ) -> QuotaRequest:
     before = credit.amount
     request = _ORIGINAL_ASK(borrower, tenant, credit, target, used, now)
@@ -307,13 +318,19 @@
 
 
 def _ignore_kept_amount(
-    bank: QuotaBank, request: QuotaRequest, quota: Needs, used: Needs, now: float
-) -> Needs:
-    return _ORIGINAL_REQUEST(bank, msgspec.structs.replace(request, kept=Needs()), quota, used, now)
+    bank: QuotaLender,
+    request: QuotaRequest,
+    quota: ResourceVector,
+    used: ResourceVector,
+    now: float,
+) -> ResourceVector:
+    return _ORIGINAL_REQUEST(
+        bank, msgspec.structs.replace(request, retained=ResourceVector()), quota, used, now
+    )
 
 
 def _withhold_unused(
-    borrower: QuotaBorrower, request: QuotaRequest, amount: Needs, now: float
+    borrower: QuotaBorrower, request: QuotaRequest, amount: ResourceVector, now: float
 ) -> bool:
     has_grown = _ORIGINAL_HANDLE_GRANTED(borrower, request, amount, now)
     credit = borrower._credits.get(request.tenant)
@@ -322,28 +339,28 @@
     return has_grown
 
 
-_ORIGINAL_REQUEST = QuotaBank.request
+_ORIGINAL_REQUEST = QuotaLender.request
 _ORIGINAL_ASK = QuotaBorrower._ask
 _ORIGINAL_HANDLE_GRANTED = QuotaBorrower.handle_granted
 DISABLED_MECHANISMS: dict[str, Any] = {
     "with every mechanism": ExitStack,
     "without recording loans before the replies": lambda: mock.patch.object(
-        QuotaBank, "encode", lambda _bank, _tenant: b""
+        QuotaLender, "encode", lambda _bank, _tenant: b""
     ),
     "without ordering requests by number": lambda: mock.patch.object(
-        QuotaBank, "request", _ignore_request_order
+        QuotaLender, "request", _ignore_request_order
     ),
     "without ceasing to use returned quota": lambda: mock.patch.object(
         QuotaBorrower, "_ask", _keep_using_returned
     ),
     "without leaving borrowers the quota they keep": lambda: mock.patch.object(
-        QuotaBank, "request", _ignore_kept_amount
+        QuotaLender, "request", _ignore_kept_amount
     ),
     "without returning unused quota when short": lambda: mock.patch.object(
         QuotaBorrower, "handle_granted", _withhold_unused
     ),
     "without counting lent quota": lambda: mock.patch.object(
-        QuotaBank, "lent", lambda _bank, _tenant: Needs()
+        QuotaLender, "lent", lambda _bank, _tenant: ResourceVector()
     ),
 }
 
--- a/src/onyxspoke/core/admission/decider.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -19,7 +19,7 @@
     Verdict,
     VerdictInputs,
 )
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 
 #: Minimum and maximum retry time of a refusal, in seconds.
@@ -39,7 +39,7 @@
         inputs = _verdict_inputs(job, delay or DurationBounds(0.0, 0.0), view, now)
         if not job.is_finite or job.objective_seconds <= 0.0:
             return Admit(inputs)
-        if job.exceeds_quota(view.quotas.get(job.tenant, Needs())):
+        if job.exceeds_quota(view.quotas.get(job.tenant, ResourceVector())):
             return Refuse(RefusalReason.TOO_LATE, MAX_RETRY_SECONDS, inputs)
         if delay is None:
             return Admit(inputs)
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -7,15 +7,15 @@
 
 from onyxspoke.core.admission.resource_pool import DurationBounds, ResourcePool, dominant_share
 from onyxspoke.core.admission.submitted_job import StepWork, SubmittedJob
-from onyxspoke.core.jobs.amounts import minus, slots_within, times
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks, scale_vector, subtract_vectors
 from onyxspoke.core.tenants.policy import TenantName
 
 
 class FreeCapacity(NamedTuple):
     """The free capacity of one worker."""
 
-    resources: Needs
+    resources: ResourceVector
     labels: tuple[str, ...]
 
 
@@ -29,7 +29,7 @@
         Time on the holder's clock at which the view was made.
     pools : dict of str to ResourcePool
         Pool of each service that has workers.
-    quotas : dict of TenantName to Needs
+    quotas : dict of TenantName to ResourceVector
         Quota of each tenant that has one.
     quota_pools : dict of TenantName to ResourcePool
         Pool of each tenant that has a quota.
@@ -39,11 +39,11 @@
 
     made_at: float
     pools: dict[str, ResourcePool]
-    quotas: dict[TenantName, Needs] = field(default_factory=dict)
+    quotas: dict[TenantName, ResourceVector] = field(default_factory=dict)
     quota_pools: dict[TenantName, ResourcePool] = field(default_factory=dict)
     free_capacity: dict[str, list[FreeCapacity]] = field(default_factory=dict)
     #: Needs of jobs that were admitted after the view was made, by service.
-    _admitted_needs: dict[str, Needs] = field(default_factory=dict)
+    _admitted_needs: dict[str, ResourceVector] = field(default_factory=dict)
 
     def start_delay(self, job: SubmittedJob) -> DurationBounds | None:
         """Return the bounds of the delay until a job could start, or None if it is unknown."""
@@ -89,10 +89,12 @@
         quota_pool = self.quota_pools.get(job.tenant)
         if quota_pool is not None:
             quota_pool.add(job)
-        admitted_needs = self._admitted_needs.get(job.service, Needs())
+        admitted_needs = self._admitted_needs.get(job.service, ResourceVector())
         for step in job.steps:
             if step.is_first:
-                admitted_needs = minus(admitted_needs, times(step.needs, -step.task_count))
+                admitted_needs = subtract_vectors(
+                    admitted_needs, scale_vector(step.needs, -step.task_count)
+                )
         self._admitted_needs[job.service] = admitted_needs
 
     def would_expire_late_job(self, job: SubmittedJob) -> bool:
@@ -103,7 +105,7 @@
     def has_capacity_for(self, job: SubmittedJob) -> bool:
         """Return whether all tasks of the job's first steps could start now."""
         workers = self.free_capacity.get(job.service, [])
-        admitted_needs = self._admitted_needs.get(job.service, Needs())
+        admitted_needs = self._admitted_needs.get(job.service, ResourceVector())
         return all(
             _fits(step, workers, admitted_needs) for step in job.steps if step.is_first
         ) and self._is_within_quota(job)
@@ -121,7 +123,7 @@
         return needed_share <= free_share
 
 
-def _fits(step: StepWork, workers: list[FreeCapacity], admitted_needs: Needs) -> bool:
+def _fits(step: StepWork, workers: list[FreeCapacity], admitted_needs: ResourceVector) -> bool:
     """Return whether a step's tasks fit on the workers, beside the tasks of other admitted jobs."""
     unplaced_tasks = step.task_count
     if any(admitted_needs):
@@ -131,13 +133,13 @@
             return False
         if step.label and step.label not in worker.labels:
             continue
-        unplaced_tasks -= slots_within(worker.resources, step.needs)
+        unplaced_tasks -= count_fitting_tasks(worker.resources, step.needs)
         if unplaced_tasks <= 0:
             return True
     return False
 
 
-def _displaced_task_count(needs: Needs, admitted_needs: Needs) -> int:
+def _displaced_task_count(needs: ResourceVector, admitted_needs: ResourceVector) -> int:
     """Return how many tasks of this size the admitted needs may displace."""
     displaced_tasks = 0
     for need, admitted_amount in zip(needs, admitted_needs, strict=True):
--- a/src/onyxspoke/core/admission/load_view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -13,12 +13,12 @@
 from onyxspoke.core.admission.resource_pool import HeldCapacity, ResourcePool, dominant_share
 from onyxspoke.core.admission.submitted_job import min_task_seconds
 from onyxspoke.core.admission.waiting_work import HORIZONS_SECONDS, WaitingWork
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.expected import Expected
-from onyxspoke.core.jobs.amounts import plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.estimates.expected import DurationEstimate
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import add_vectors
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.forecast import RELIABLE_PROGRESS_PERCENT, remaining_seconds
 from onyxspoke.core.placement.queue_order import (
@@ -35,7 +35,7 @@
 
 _FULL_PERCENT = 100
 
-ExpectedDuration = Callable[[str, str, int], Expected]
+ExpectedDuration = Callable[[str, str, int], DurationEstimate]
 
 
 class ExpectedRetry(NamedTuple):
@@ -68,7 +68,7 @@
     steps: list[StepProgress]
     table: WorkerTable
     policy: PolicySet
-    durations: Durations
+    durations: DurationEstimator
     stop_seconds: float
     arrivals: ArrivalMeter
     expected_retries: Iterable[ExpectedRetry] = ()
@@ -78,7 +78,7 @@
     """A waiting step, with the duration of one task and the time that the step may still wait."""
 
     rank: StepRank
-    needs: Needs
+    needs: ResourceVector
     task_count: int
     low_seconds: float
     high_seconds: float
@@ -128,7 +128,7 @@
         slack_seconds = math.inf
         if placement_rank.lateness is Lateness.LATE:
             expires_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
-            slack_seconds = expires_at - step.expected_chain_seconds - self._now
+            slack_seconds = expires_at - step.expected_remaining_path_seconds - self._now
         low_seconds, high_seconds = min_task_seconds(expected), max(0.0, expected.upper_seconds)
         waiting_step = _WaitingStep(
             rank, needs, len(step.waiting), low_seconds, high_seconds, slack_seconds
@@ -192,7 +192,9 @@
     def _free_capacity_of(self, service: str) -> list[FreeCapacity]:
         free_capacity = []
         for worker in self._inputs.table.offered(service):
-            resources = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
+            resources = ResourceVector(
+                worker.free_processors, worker.free_memory, worker.free_accelerators
+            )
             if resources.processors_milli > 0 or not worker.record.capacity.processors_milli:
                 free_capacity.append(FreeCapacity(resources, worker.record.labels))
         free_capacity.sort(key=lambda worker: -worker.resources.processors_milli)
@@ -212,12 +214,12 @@
             )
         return pools
 
-    def _held_on(self, workers: list[Worker], total: Needs) -> list[HeldCapacity]:
+    def _held_on(self, workers: list[Worker], total: ResourceVector) -> list[HeldCapacity]:
         return [
             self._held_capacity(run, total) for worker in workers for run in worker.runs.values()
         ]
 
-    def _held_capacity(self, run: Run, total: Needs) -> HeldCapacity:
+    def _held_capacity(self, run: Run, total: ResourceVector) -> HeldCapacity:
         spec = run.task.step.spec
         queue = self._inputs.policy.queue_of(run.task.step.job.spec)
         seconds = self._seconds_left(run)
@@ -273,12 +275,12 @@
 
 
 def _waiting_work(
-    steps: list[_WaitingStep], total: Needs
+    steps: list[_WaitingStep], total: ResourceVector
 ) -> tuple[list[WaitingWork], dict[RankClass, list[LateWork]]]:
     """Return the work of waiting steps as shares of a total, and the part that is late."""
     waiting_work = []
     late_work: dict[RankClass, list[LateWork]] = {}
-    shares: dict[Needs, float] = {}
+    shares: dict[ResourceVector, float] = {}
     for rank, needs, task_count, low_seconds, high_seconds, slack_seconds in steps:
         share = shares.get(needs)
         if share is None:
@@ -290,11 +292,11 @@
     return waiting_work, late_work
 
 
-def _cache_expected(durations: Durations) -> ExpectedDuration:
+def _cache_expected(durations: DurationEstimator) -> ExpectedDuration:
     """Return a function that caches the expected duration of similar tasks."""
-    cache: dict[tuple[str, str, int], Expected] = {}
+    cache: dict[tuple[str, str, int], DurationEstimate] = {}
 
-    def expected_duration(queue: str, tenant: str, estimated_ms: int) -> Expected:
+    def expected_duration(queue: str, tenant: str, estimated_ms: int) -> DurationEstimate:
         key = (queue, tenant, estimated_ms)
         expected = cache.get(key)
         if expected is None:
@@ -304,8 +306,8 @@
     return expected_duration
 
 
-def _sum_capacity(workers: list[Worker]) -> Needs:
-    total = Needs()
+def _sum_capacity(workers: list[Worker]) -> ResourceVector:
+    total = ResourceVector()
     for worker in workers:
-        total = plus(total, worker.record.capacity)
+        total = add_vectors(total, worker.record.capacity)
     return total
--- a/src/onyxspoke/core/admission/resource_pool.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -23,7 +23,7 @@
     WorkEstimate,
     horizon_for,
 )
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
 from onyxspoke.core.placement.reservations import MAX_HELD_CAPACITY_SHARE
 
@@ -31,7 +31,7 @@
 WORST_CASE_USED_SHARE = 1.0 - MAX_HELD_CAPACITY_SHARE
 
 
-def dominant_share(needs: Needs, total: Needs) -> float:
+def dominant_share(needs: ResourceVector, total: ResourceVector) -> float:
     """Return the largest share of any resource that an amount takes of a total."""
     share = needs[0] / total[0] if total[0] > 0 else 0.0
     if needs[1] > 0 and total[1] > 0:
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    total : Needs
+    total : ResourceVector
         Capacity of the pool; shares are relative to it.
     waiting_work : list of WaitingWork
         Work that waits for the pool, in queue order.
@@ -91,7 +91,7 @@
         Waiting work of late jobs that have not expired.
     """
 
-    total: Needs
+    total: ResourceVector
     waiting_work: list[WaitingWork]
     held: list[HeldCapacity]
     best_case_capacity_factor: float = 1.0
--- a/src/onyxspoke/core/admission/submitted_job.py
+++ b/src/onyxspoke/core/admission/submitted_job.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.expected import Expected
-from onyxspoke.core.jobs.amounts import times
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.estimates.expected import DurationEstimate
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector
+from onyxspoke.core.jobs.resource_vectors import scale_vector
 from onyxspoke.core.placement.queue_order import (
     CERTAIN_ESTIMATE_SHARE,
     EXPIRY_FACTOR,
@@ -24,7 +24,7 @@
 
     Attributes
     ----------
-    needs : Needs
+    needs : ResourceVector
         Resources of one task.
     low_seconds, median_seconds, upper_seconds : float
         Expected duration of one task; the first is a lower bound, used when many tasks are summed.
@@ -36,7 +36,7 @@
         All tasks of the step must run at the same time.
     """
 
-    needs: Needs
+    needs: ResourceVector
     task_count: int
     low_seconds: float
     median_seconds: float
@@ -91,10 +91,12 @@
         """Time on the holder's clock at which the job expires: its caller has given up."""
         return self.first_submitted_at + EXPIRY_FACTOR * self.objective_seconds
 
-    def exceeds_quota(self, quota: Needs) -> bool:
+    def exceeds_quota(self, quota: ResourceVector) -> bool:
         """Return whether the job can never run within a quota; 0 means no limit."""
         for step in self.steps:
-            simultaneous_needs = times(step.needs, step.task_count) if step.is_gang else step.needs
+            simultaneous_needs = (
+                scale_vector(step.needs, step.task_count) if step.is_gang else step.needs
+            )
             if any(
                 limit and need > limit
                 for need, limit in zip(simultaneous_needs, quota, strict=True)
@@ -103,7 +105,7 @@
         return False
 
 
-def min_task_seconds(expected: Expected) -> float:
+def min_task_seconds(expected: DurationEstimate) -> float:
     """Return the lower bound of a task's duration, as the queue order computes it."""
     return CERTAIN_ESTIMATE_SHARE * max(0.0, expected.median_seconds)
 
@@ -111,7 +113,7 @@
 def describe_submitted_job(
     spec: JobSpec,
     queue: QueuePolicy,
-    durations: Durations,
+    durations: DurationEstimator,
     first_submitted_at: float,
     *,
     is_timely_retry: bool = False,
@@ -140,7 +142,7 @@
     )
 
 
-def _estimate_steps(spec: JobSpec, durations: Durations) -> list[StepWork]:
+def _estimate_steps(spec: JobSpec, durations: DurationEstimator) -> list[StepWork]:
     step_works = []
     for step in spec.steps:
         expected = durations.expected(spec.queue.name, spec.tenant, step.estimated_ms)
--- a/src/onyxspoke/core/placement/advice_targets.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -10,9 +10,9 @@
 import zlib
 from collections.abc import Callable, Iterable
 
-from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import AdvicePolicy, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks
 from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.spreading import task_counts_by_worker
@@ -66,7 +66,7 @@
         self._schedulable = schedulable
         self._free_capacity = free_capacity
         self._approval_rate = approval_rate
-        self._task_limit = step.most_on_a_worker
+        self._task_limit = step.max_tasks_per_worker
         #: Number of the step's tasks on each worker; empty unless the step has a spread limit.
         self._task_counts = task_counts_by_worker(step)
 
@@ -174,7 +174,7 @@
         return max(0, min(tasks_allowed, self._free_capacity.slots(worker, self._step.needs)))
 
     def _total_slots(self, worker: Worker) -> int:
-        return min(self._task_limit, slots_within(worker.record.capacity, self._step.needs))
+        return min(self._task_limit, count_fitting_tasks(worker.record.capacity, self._step.needs))
 
 
 def call_interval_seconds(policy: AdvicePolicy, worker_count: int) -> float:
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -16,7 +16,7 @@
 
 from enum import Enum
 
-from onyxspoke.core.jobs.crashes import Blame
+from onyxspoke.core.jobs.crashes import CrashBlame
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerListing
@@ -55,14 +55,14 @@
     return reason is IncarnationEndReason.OTHER_INCARNATION or worker.listing is WorkerListing.GONE
 
 
-def blame_runs(worker: Worker, now: float) -> list[tuple[Run, Blame]]:
+def blame_runs(worker: Worker, now: float) -> list[tuple[Run, CrashBlame]]:
     """Return every run that was ordered on a crashed worker, with its blame for the crash."""
     runs = [run for run in worker.runs.values() if run.state is not RunState.PLANNED]
     just_started = [run for run in runs if _had_just_started(run, worker)]
     if _crash_time_is_unknown(worker, now):
         just_started = []
     is_one_job = len({run.task.key.job_id for run in just_started}) == 1
-    just_started_blame = Blame.ALONE if is_one_job else Blame.RECENT
+    just_started_blame = CrashBlame.ALONE if is_one_job else CrashBlame.RECENT
     return [(run, _blame_of(run, run in just_started, just_started_blame, now)) for run in runs]
 
 
@@ -88,11 +88,13 @@
     return run.state is RunState.STOPPING and run.stop_answered_at > 0.0
 
 
-def _blame_of(run: Run, is_just_started: bool, just_started_blame: Blame, now: float) -> Blame:
+def _blame_of(
+    run: Run, is_just_started: bool, just_started_blame: CrashBlame, now: float
+) -> CrashBlame:
     if not run.confirmed_at or _had_stopped(run):
-        return Blame.DOUBTED
+        return CrashBlame.UNCONFIRMED
     if is_just_started:
         return just_started_blame
     is_steady = now - run.confirmed_at >= STEADY_SECONDS
     is_long_running = run.task.step.spec.long_running
-    return Blame.NONE if is_long_running and is_steady else Blame.PRESENT
+    return CrashBlame.NONE if is_long_running and is_steady else CrashBlame.CONFIRMED
--- a/src/onyxspoke/core/placement/forecast.py
+++ b/src/onyxspoke/core/placement/forecast.py
@@ -5,7 +5,7 @@
 import math
 from operator import itemgetter
 
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
@@ -47,10 +47,10 @@
         self._now = now
         #: For each worker the expected ends of its runs, earliest first, with the capacity that
         #: each end frees.
-        self._expected_ends: dict[WorkerId, list[tuple[float, Needs]]] = {}
+        self._expected_ends: dict[WorkerId, list[tuple[float, ResourceVector]]] = {}
 
     def capacity_expected_at(
-        self, worker: Worker, needs: Needs, capacity: ScratchCapacity
+        self, worker: Worker, needs: ResourceVector, capacity: ScratchCapacity
     ) -> float:
         """Return when a worker will have capacity for one more task; infinity if not known."""
         processors_milli, memory_mb, accelerators = capacity.free(worker)
@@ -64,7 +64,7 @@
                 return end_at
         return math.inf
 
-    def _expected_ends_on(self, worker: Worker) -> list[tuple[float, Needs]]:
+    def _expected_ends_on(self, worker: Worker) -> list[tuple[float, ResourceVector]]:
         expected_ends = self._expected_ends.get(worker.worker_id)
         if expected_ends is None:
             expected_ends = [
@@ -76,7 +76,7 @@
         return expected_ends
 
 
-def _fits(processors_milli: int, memory_mb: int, accelerators: int, needs: Needs) -> bool:
+def _fits(processors_milli: int, memory_mb: int, accelerators: int, needs: ResourceVector) -> bool:
     # Runs may hold more of a resource than the worker has, so that its free amount is negative.
     # A task that needs none of this resource fits all the same.
     return (
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -236,13 +236,13 @@
     workers of the same speed, those that can take the most members come first: the loss of any
     worker aborts the whole gang, so a gang should use few workers.
     """
-    failed_on = {task.failed_on for task in step.tasks}
+    last_failed_worker_id = {task.last_failed_worker_id for task in step.tasks}
     ranked = []
     for worker in workers:
-        count = min(step.most_on_a_worker, capacity.slots(worker, step.needs))
+        count = min(step.max_tasks_per_worker, capacity.slots(worker, step.needs))
         if count > 0:
             score = (
-                int(worker.worker_id in failed_on),
+                int(worker.worker_id in last_failed_worker_id),
                 int(worker.health.is_suspected(now)),
                 int(is_off_preferred_rack(worker, step)),
                 (NEUTRAL_SPEED_SCORE if preference is None else preference.score(worker)),
@@ -259,7 +259,7 @@
     step: StepProgress, workers: list[Worker], capacity: ScratchCapacity, now: float
 ) -> list[MemberSlots]:
     """Return how many additional members each worker will soon have capacity for."""
-    max_per_worker = step.most_on_a_worker
+    max_per_worker = step.max_tasks_per_worker
     slots_soon = []
     for worker in workers:
         freed = capacity_freed_soon(worker, now)
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -44,27 +44,27 @@
 def isolate_worker_of(run: Run, now: float) -> None:
     """Let no other run start on the worker of a suspect run until a crash would be detected."""
     step = run.task.step
-    if run.task.crashes.is_suspicious or is_on_trial(step):
-        step.begins_apart_until = run.worker.isolated_until = now + ISOLATION_SECONDS
+    if run.task.crashes.needs_isolation or is_on_trial(step):
+        step.next_trial_start_at = run.worker.isolated_until = now + ISOLATION_SECONDS
 
 
 def is_on_trial(step: StepProgress) -> bool:
     """Return whether a step crashed a worker, and no task of it has survived its start since."""
-    if not step.crashed_at or step.done_count > step.done_before_crash:
+    if not step.last_crash_at or step.done_count > step.done_count_at_crash:
         return False
-    return not any(_has_survived_start(task, step.crashed_at) for task in step.tasks)
+    return not any(_has_survived_start(task, step.last_crash_at) for task in step.tasks)
 
 
-def _has_survived_start(task: TaskProgress, crashed_at: float) -> bool:
+def _has_survived_start(task: TaskProgress, last_crash_at: float) -> bool:
     run = task.run
-    if run is None or not run.confirmed_at or run.ordered_at <= crashed_at:
+    if run is None or not run.confirmed_at or run.ordered_at <= last_crash_at:
         return False
     return run.worker.last_answer_at > run.ordered_at + RECENT_START_SECONDS
 
 
 def needs_isolation(task: TaskProgress, step_is_on_trial: bool) -> bool:
     """Return whether a task must start in isolation from other jobs."""
-    return step_is_on_trial or task.crashes.is_suspicious
+    return step_is_on_trial or task.crashes.needs_isolation
 
 
 def place_isolated(
@@ -82,7 +82,7 @@
     placed: list[tuple[AnyHasWorker, TaskProgress]] = []
     waiting = list(suspects)
     one_worker_at_a_time = is_on_trial(step)
-    if one_worker_at_a_time and now < step.begins_apart_until:
+    if one_worker_at_a_time and now < step.next_trial_start_at:
         return placed
     for candidate in sorted(
         candidates, key=lambda candidate: _isolation_cost(candidate.worker, free_capacity, now)
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -29,7 +29,7 @@
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
-from onyxspoke.core.tenants.ledger import QuotaPass
+from onyxspoke.core.tenants.quota_usage import QuotaBudget
 
 #: The largest number of tasks placed in one pass, which bounds the duration of a pass.
 MAXIMUM_PLACEMENTS = 200
@@ -107,7 +107,7 @@
         self._blocked_at_change.clear()
 
     def plan(
-        self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaPass, now: float
+        self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaBudget, now: float
     ) -> list[StepPlacement]:
         """Return the tasks that start now, with their workers.
 
@@ -129,7 +129,7 @@
         ):
             max_tasks = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
-            if step.note_quota(max_tasks == 0, now):
+            if step.set_over_quota(max_tasks == 0, now):
                 self._newly_over_quota.append(step)
             if max_tasks == 0:
                 self._reservations.release(step.key)
@@ -280,7 +280,7 @@
             for worker in eligible_workers
             if has_label(worker, step)
             and not worker.health.is_suspected(placement_pass.now)
-            and counts.get(worker.worker_id, 0) < step.most_on_a_worker
+            and counts.get(worker.worker_id, 0) < step.max_tasks_per_worker
         ]
         total_processors_milli = schedulable.processors_milli
         self._capacity_seeker.reserve_or_preempt(
@@ -331,7 +331,7 @@
         return schedulable
 
 
-def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
+def _tasks_within_quota(step: StepProgress, quotas: QuotaBudget) -> int:
     """Return how many waiting tasks of a step its tenant may start; of a gang all, or none."""
     tenant = step.job.spec.tenant
     if not tenant:
--- a/src/onyxspoke/core/placement/preemption.py
+++ b/src/onyxspoke/core/placement/preemption.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.jobs.amounts import minus, plus, slots_within
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet
+from onyxspoke.core.jobs.resource_vectors import add_vectors, count_fitting_tasks, subtract_vectors
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.forecast import remaining_seconds
 from onyxspoke.core.placement.runs import Run
@@ -45,7 +45,7 @@
 
 def choose_preemption(
     priority: int,
-    needs: Needs,
+    needs: ResourceVector,
     workers: list[Worker],
     capacity: ScratchCapacity,
     policy: PolicySet,
@@ -69,19 +69,19 @@
     return cheapest
 
 
-def capacity_freed_soon(worker: Worker, now: float) -> Needs:
+def capacity_freed_soon(worker: Worker, now: float) -> ResourceVector:
     """Return the capacity on a worker held by runs that are being stopped or will end soon."""
-    freed = Needs()
+    freed = ResourceVector()
     for run in worker.runs.values():
         if run.state is RunState.STOPPING or _ends_soon(run, now):
-            freed = plus(freed, run.needs)
+            freed = add_vectors(freed, run.needs)
     return freed
 
 
 def _choose_on_worker(
     worker: Worker,
     priority: int,
-    needs: Needs,
+    needs: ResourceVector,
     capacity: ScratchCapacity,
     policy: PolicySet,
     now: float,
@@ -90,7 +90,7 @@
     candidates = []
     for run in worker.runs.values():
         if run.state is RunState.STOPPING or _ends_soon(run, now):
-            free = plus(free, run.needs)
+            free = add_vectors(free, run.needs)
         elif _is_preemptible(run, priority, policy) and not _would_be_late(run, now):
             candidates.append(run)
     candidates.sort(
@@ -98,15 +98,15 @@
     )
     victims = []
     for run in candidates:
-        if slots_within(free, needs) > 0:
+        if count_fitting_tasks(free, needs) > 0:
             break
         victims.append(run)
-        free = plus(free, run.needs)
-    if not victims or slots_within(free, needs) == 0:
+        free = add_vectors(free, run.needs)
+    if not victims or count_fitting_tasks(free, needs) == 0:
         return None
     for run in list(victims):
-        free_without_run = minus(free, run.needs)
-        if slots_within(free_without_run, needs) > 0:
+        free_without_run = subtract_vectors(free, run.needs)
+        if count_fitting_tasks(free_without_run, needs) > 0:
             victims.remove(run)
             free = free_without_run
     return Preemption(worker, victims, sum(_cost_milli(run) for run in victims))
--- a/src/onyxspoke/core/placement/queue_order.py
+++ b/src/onyxspoke/core/placement/queue_order.py
@@ -63,11 +63,12 @@
     """Return a step's rank in a given queue."""
     job = step.job
     objective_seconds = job.expected_objective_seconds
-    # This equals ``step.expected_chain_seconds``.  It is computed here to save a call, because
+    # This equals ``step.expected_remaining_path_seconds``.  It is computed here to save a call,
+    # because
     # every pass ranks every waiting step.
-    chain_seconds = step.chain_seconds * job.work.factor
-    latest_start = step.due_at + objective_seconds - chain_seconds
-    lateness = _lateness(step, objective_seconds, chain_seconds, now)
+    remaining_path_seconds = step.remaining_path_seconds * job.work.factor
+    latest_start = step.due_at + objective_seconds - remaining_path_seconds
+    lateness = _lateness(step, objective_seconds, remaining_path_seconds, now)
     return StepRank(
         lateness is Lateness.EXPIRED,
         job.spec.is_over_share,
@@ -81,12 +82,12 @@
 def refreshed_rank(rank: StepRank, step: StepProgress, now: float) -> StepRank:
     """Return a step's rank with its lateness updated; priority and share stay as they were."""
     objective_seconds = step.job.expected_objective_seconds
-    chain_seconds = step.expected_chain_seconds
-    lateness = _lateness(step, objective_seconds, chain_seconds, now)
+    remaining_path_seconds = step.expected_remaining_path_seconds
+    lateness = _lateness(step, objective_seconds, remaining_path_seconds, now)
     return rank._replace(
         is_expired=lateness is Lateness.EXPIRED,
         lateness=lateness,
-        latest_start=step.due_at + objective_seconds - chain_seconds,
+        latest_start=step.due_at + objective_seconds - remaining_path_seconds,
     )
 
 
@@ -95,7 +96,7 @@
     if step.spec.long_running:
         return math.inf
     # The due time less the work that is certain to remain.
-    adjusted_due_at = step.due_at - CERTAIN_ESTIMATE_SHARE * step.expected_chain_seconds
+    adjusted_due_at = step.due_at - CERTAIN_ESTIMATE_SHARE * step.expected_remaining_path_seconds
     objective_seconds = step.job.expected_objective_seconds
     for change_at in (
         adjusted_due_at + objective_seconds,
@@ -107,11 +108,11 @@
 
 
 def _lateness(
-    step: StepProgress, objective_seconds: float, chain_seconds: float, now: float
+    step: StepProgress, objective_seconds: float, remaining_path_seconds: float, now: float
 ) -> Lateness:
     if step.spec.long_running:
         return Lateness.ON_TIME
-    earliest_end = now + CERTAIN_ESTIMATE_SHARE * chain_seconds
+    earliest_end = now + CERTAIN_ESTIMATE_SHARE * remaining_path_seconds
     if earliest_end <= step.due_at + objective_seconds:
         return Lateness.ON_TIME
     if earliest_end <= step.due_at + EXPIRY_FACTOR * objective_seconds:
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -10,9 +10,9 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import StepKey
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
@@ -103,5 +103,5 @@
 def can_ever_fit(step: StepProgress, workers: list[Worker]) -> bool:
     """Return whether a whole gang fits on these workers when nothing else runs there."""
     needs = step.needs
-    slot_count = sum(slots_within(worker.record.capacity, needs) for worker in workers)
+    slot_count = sum(count_fitting_tasks(worker.record.capacity, needs) for worker in workers)
     return slot_count >= len(step.tasks)
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from onyxspoke.core.estimates.evidence import RunEvidence, estimated_seconds
-from onyxspoke.core.jobs.model import Needs, RunKey
+from onyxspoke.core.estimates.evidence import ObservedRunPace, estimated_seconds
+from onyxspoke.core.jobs.model import ResourceVector, RunKey
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
 from onyxspoke.core.jobs.states import RunState, check_run_transition
 
@@ -83,7 +83,7 @@
     usage : int
         A coarse figure that the worker reports: the processors in use or, for a serving task, its
         tail latency in milliseconds.
-    evidence : RunEvidence or None
+    evidence : ObservedRunPace or None
         What the progress of the run shows about task durations.
     pace_percent, ordered_pace_percent : int
         The share of full speed at which a filler run may work: the value that the worker last
@@ -125,7 +125,7 @@
         self.task = task
         self.number = number
         self.worker = worker
-        self.needs: Needs = task.step.needs
+        self.needs: ResourceVector = task.step.needs
         self.state = RunState.PLANNED
         self.gang = gang
         self.start_valid_until_ms = 0
@@ -137,7 +137,7 @@
         self.stop_answered_at = 0.0
         self.percent = 0
         self.is_resumed = False
-        self.evidence: RunEvidence | None = None
+        self.evidence: ObservedRunPace | None = None
         self.progressed_at = now
         self.usage = 0
         self.pace_percent = 100
--- a/src/onyxspoke/core/placement/schedulable_workers.py
+++ b/src/onyxspoke/core/placement/schedulable_workers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.workers import Worker
 
@@ -17,7 +17,7 @@
         #: Total processors of these workers, in thousandths.
         self.processors_milli = sum(worker.record.capacity.processors_milli for worker in workers)
 
-    def may_fit(self, needs: Needs) -> bool:
+    def may_fit(self, needs: ResourceVector) -> bool:
         """Return whether a worker may have enough free capacity for one task.
 
         This check is cheap and not exact: processors and memory may be free on different workers.
--- a/src/onyxspoke/core/placement/scratch_capacity.py
+++ b/src/onyxspoke/core/placement/scratch_capacity.py
@@ -2,8 +2,13 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.jobs.amounts import minus, plus, slots_within, times
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import (
+    add_vectors,
+    count_fitting_tasks,
+    scale_vector,
+    subtract_vectors,
+)
 from onyxspoke.core.placement.workers import Worker
 
 
@@ -11,7 +16,7 @@
     """Tracks the capacity that a pass uses on each worker, without changing the workers."""
 
     def __init__(self) -> None:
-        self._taken: dict[str, Needs] = {}
+        self._taken: dict[str, ResourceVector] = {}
 
     def has_taken_from(self, worker: Worker) -> bool:
         """Return whether the pass has used capacity of a worker."""
@@ -21,7 +26,7 @@
         """Use all capacity of a worker, so that the pass places nothing more on it."""
         self._taken[worker.worker_id] = worker.record.capacity
 
-    def fits(self, worker: Worker, needs: Needs) -> bool:
+    def fits(self, worker: Worker, needs: ResourceVector) -> bool:
         """Return whether a worker has free capacity for one more task."""
         taken = self._taken.get(worker.worker_id)
         if taken is None:
@@ -32,29 +37,33 @@
             and taken.accelerators + needs.accelerators <= worker.free_accelerators
         )
 
-    def free(self, worker: Worker) -> Needs:
+    def free(self, worker: Worker) -> ResourceVector:
         """Return a worker's free capacity; negative if its runs hold more than the worker has."""
         taken = self._taken.get(worker.worker_id)
         if taken is None:
-            return Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
-        free_before_pass = Needs(
+            return ResourceVector(
+                worker.free_processors, worker.free_memory, worker.free_accelerators
+            )
+        free_before_pass = ResourceVector(
             worker.free_processors, worker.free_memory, worker.free_accelerators
         )
-        return minus(free_before_pass, taken)
+        return subtract_vectors(free_before_pass, taken)
 
-    def slots(self, worker: Worker, needs: Needs, additional: Needs | None = None) -> int:
+    def slots(
+        self, worker: Worker, needs: ResourceVector, additional: ResourceVector | None = None
+    ) -> int:
         """Return how many more tasks fit on a worker, with ``additional`` capacity if given."""
         free = self.free(worker)
         if additional is not None:
-            free = plus(free, additional)
-        return slots_within(free, needs)
+            free = add_vectors(free, additional)
+        return count_fitting_tasks(free, needs)
 
     def free_processors(self, worker: Worker) -> int:
         """Return a worker's free processors, in thousandths of a processor."""
         taken = self._taken.get(worker.worker_id)
         return worker.free_processors - (taken.processors_milli if taken else 0)
 
-    def take(self, worker: Worker, needs: Needs, count: int = 1) -> None:
+    def take(self, worker: Worker, needs: ResourceVector, count: int = 1) -> None:
         """Use capacity of a worker for ``count`` tasks."""
-        taken = self._taken.get(worker.worker_id, Needs())
-        self._taken[worker.worker_id] = plus(taken, times(needs, count))
+        taken = self._taken.get(worker.worker_id, ResourceVector())
+        self._taken[worker.worker_id] = add_vectors(taken, scale_vector(needs, count))
--- a/src/onyxspoke/core/placement/spreading.py
+++ b/src/onyxspoke/core/placement/spreading.py
@@ -115,7 +115,7 @@
         limit = min(limit, 1)
     if limit <= 0:
         return []
-    not_failed_here = [task for task in waiting if task.failed_on != worker.worker_id]
+    not_failed_here = [task for task in waiting if task.last_failed_worker_id != worker.worker_id]
     return (not_failed_here or waiting)[:limit]
 
 
@@ -140,7 +140,7 @@
     needs_accelerators = step.needs.accelerators > 0
     is_in_other_zone = bool(zones) and worker.record.zone not in zones
     return (
-        int(tasks[0].failed_on == worker.worker_id),
+        int(tasks[0].last_failed_worker_id == worker.worker_id),
         int(worker.health.is_suspected(now)),
         int(is_off_preferred_rack(worker, step)),
         pace.lateness_penalty,
--- a/src/onyxspoke/core/placement/unconfirmed_usage.py
+++ b/src/onyxspoke/core/placement/unconfirmed_usage.py
@@ -9,16 +9,16 @@
 
 from collections.abc import Iterable
 
-from onyxspoke.core.jobs.amounts import bounded, plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.progress import TaskProgress
+from onyxspoke.core.jobs.resource_vectors import add_vectors, elementwise_minimum
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.tenants.policy import TenantName
 
 
 def find_doubts(
     tasks: Iterable[TaskProgress], unreported_workers: list[Worker]
-) -> dict[TenantName, Needs]:
+) -> dict[TenantName, ResourceVector]:
     """Return the resources that each tenant may use on workers that have not reported their runs.
 
     Parameters
@@ -30,15 +30,16 @@
     """
     if not unreported_workers:
         return {}
-    unreported_capacity = Needs()
+    unreported_capacity = ResourceVector()
     for worker in unreported_workers:
-        unreported_capacity = plus(unreported_capacity, worker.record.capacity)
-    usage_by_tenant: dict[TenantName, Needs] = {}
+        unreported_capacity = add_vectors(unreported_capacity, worker.record.capacity)
+    usage_by_tenant: dict[TenantName, ResourceVector] = {}
     for task in tasks:
         step = task.step
         tenant = step.job.spec.tenant
         if tenant and not step.job.state.is_final:
-            usage_by_tenant[tenant] = bounded(
-                plus(usage_by_tenant.get(tenant, Needs()), step.needs), unreported_capacity
+            usage_by_tenant[tenant] = elementwise_minimum(
+                add_vectors(usage_by_tenant.get(tenant, ResourceVector()), step.needs),
+                unreported_capacity,
             )
     return usage_by_tenant
--- a/src/onyxspoke/core/placement/worker_speed_preference.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -39,7 +39,7 @@
 
     def __init__(self, step: StepProgress, now: float) -> None:
         objective_at = step.due_at + step.job.expected_objective_seconds
-        slack_seconds = objective_at - now - step.expected_chain_seconds
+        slack_seconds = objective_at - now - step.expected_remaining_path_seconds
         step_seconds = step.expected_seconds
         self._max_factor = (
             1.0 + SLACK_SHARE * slack_seconds / step_seconds if step_seconds > 0.0 else 1.0
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from onyxspoke.core.estimates.speeds import WorkerSpeed
-from onyxspoke.core.jobs.model import Needs, RunKey
+from onyxspoke.core.jobs.model import ResourceVector, RunKey
 from onyxspoke.core.jobs.states import RunEnd, RunState
 from onyxspoke.core.placement.health import WorkerHealth
 from onyxspoke.core.placement.pacing import FULL_PERCENT, WorkerPace
@@ -229,7 +229,7 @@
         """Whether the runs hold more of some resource than the worker has."""
         return self.free_processors < 0 or self.free_memory < 0 or self.free_accelerators < 0
 
-    def fits(self, needs: Needs) -> bool:
+    def fits(self, needs: ResourceVector) -> bool:
         """Return whether the worker has free capacity for one more task."""
         return (
             needs.processors_milli <= self.free_processors
--- a/src/onyxspoke/core/shard/admission_controller.py
+++ b/src/onyxspoke/core/shard/admission_controller.py
@@ -285,7 +285,7 @@
         """Return whether a job is entitled and in a queue of its service's highest priority."""
         if job.rank.is_over_share:
             return False
-        highest_priority = self._context.policy.first_priority(job.service)
+        highest_priority = self._context.policy.highest_priority(job.service)
         return highest_priority is None or job.rank.priority <= highest_priority
 
     def _refuse_one_for_store(self, spec: JobSpec, job: SubmittedJob, now: float) -> float:
--- a/src/onyxspoke/core/shard/quota_coordinator.py
+++ b/src/onyxspoke/core/shard/quota_coordinator.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.jobs.amounts import minus, plus, times
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import add_vectors, scale_vector, subtract_vectors
 from onyxspoke.core.placement.unconfirmed_usage import find_doubts
 from onyxspoke.core.shard.actions import ReplyToCall, RequestQuota
 from onyxspoke.core.shard.calls import CallReply, QuotaCall, ReplyCode
 from onyxspoke.core.shard.context import ShardContext
-from onyxspoke.core.tenants.bank import QuotaRequest, home_shard
-from onyxspoke.core.tenants.borrower import QuotaBorrower
-from onyxspoke.core.tenants.ledger import UNLIMITED, QuotaPass
 from onyxspoke.core.tenants.policy import TenantName
+from onyxspoke.core.tenants.quota_borrower import QuotaBorrower
+from onyxspoke.core.tenants.quota_lender import QuotaRequest, home_shard
+from onyxspoke.core.tenants.quota_usage import UNLIMITED, QuotaBudget
 
 
 class QuotaCoordinator:
@@ -27,29 +27,34 @@
         self._context = context
         self._borrower = QuotaBorrower(context.shard, context.token)
 
-    def begin_pass(self, now: float) -> QuotaPass:
+    def begin_pass(self, now: float) -> QuotaBudget:
         """Return the quotas for one pass of placement, and update the loans."""
         unconfirmed_usage = self._unconfirmed_usage()
         self._update_loans(unconfirmed_usage, now)
-        return QuotaPass(self.allocation_of, self._context.ledger, unconfirmed_usage)
+        return QuotaBudget(self.allocation_of, self._context.quota_usage, unconfirmed_usage)
 
-    def allocation_of(self, tenant: TenantName) -> Needs:
+    def allocation_of(self, tenant: TenantName) -> ResourceVector:
         """Return the part of a tenant's quota that this shard may use."""
         quota = self._quota_of(tenant)
         allocation = quota
         if self._context.shard_count > 1:
             allocation = self._borrower.amount(tenant)
             if self._home_shard_of(tenant) == self._context.shard:
-                bank = self._context.bank
-                allocation = minus(minus(quota, bank.lent(tenant)), bank.kept_back(tenant))
-        return Needs(
+                quota_lender = self._context.quota_lender
+                allocation = subtract_vectors(
+                    subtract_vectors(quota, quota_lender.lent(tenant)),
+                    quota_lender.reserved_for_other_shards(tenant),
+                )
+        return ResourceVector(
             *(
                 amount if limit else UNLIMITED
                 for amount, limit in zip(allocation, quota, strict=True)
             )
         )
 
-    def _update_loans(self, unconfirmed_usage: dict[TenantName, Needs], now: float) -> None:
+    def _update_loans(
+        self, unconfirmed_usage: dict[TenantName, ResourceVector], now: float
+    ) -> None:
         """Request missing quota from the home shards, and return quota that is not needed."""
         context = self._context
         if context.shard_count <= 1:
@@ -60,12 +65,14 @@
             quota = self._quota_of(tenant)
             if not any(quota):
                 continue
-            used = plus(context.ledger.used(tenant), unconfirmed_usage.get(tenant, Needs()))
-            tenant_waiting_needs = waiting_needs.get(tenant, Needs())
+            used = add_vectors(
+                context.quota_usage.used(tenant), unconfirmed_usage.get(tenant, ResourceVector())
+            )
+            tenant_waiting_needs = waiting_needs.get(tenant, ResourceVector())
             if tenant_home_shard == context.shard:
-                context.bank.note_home(tenant, tenant_waiting_needs, used, now)
+                context.quota_lender.update_home_demand(tenant, tenant_waiting_needs, used, now)
                 continue
-            request = self._borrower.keep(tenant, quota, used, tenant_waiting_needs, now)
+            request = self._borrower.next_request(tenant, quota, used, tenant_waiting_needs, now)
             if request is not None:
                 self._log_request("quota_asked", request, request.amount)
                 context.emit(RequestQuota(tenant_home_shard, request))
@@ -79,9 +86,9 @@
             reply = CallReply(code=ReplyCode.UNKNOWN, reason="no_quota_here")
             context.emit(ReplyToCall(call_id, reply))
             return
-        unconfirmed = self._unconfirmed_usage().get(request.tenant, Needs())
-        used = plus(context.ledger.used(request.tenant), unconfirmed)
-        amount = context.bank.request(request, policy.quota, used, now)
+        unconfirmed = self._unconfirmed_usage().get(request.tenant, ResourceVector())
+        used = add_vectors(context.quota_usage.used(request.tenant), unconfirmed)
+        amount = context.quota_lender.request(request, policy.quota, used, now)
         self._log_request("quota_lent", request, amount)
         reply = CallReply(code=ReplyCode.OK, granted=amount)
         context.commit.after_commit(lambda _now: context.emit(ReplyToCall(call_id, reply)))
@@ -95,29 +102,29 @@
         elif self._borrower.handle_granted(request, reply.granted, now):
             self._context.needs_placement = True
 
-    def _quota_of(self, tenant: TenantName) -> Needs:
+    def _quota_of(self, tenant: TenantName) -> ResourceVector:
         policy = self._context.policy.tenants.get(tenant)
-        return policy.quota if policy is not None else Needs()
+        return policy.quota if policy is not None else ResourceVector()
 
     def _home_shard_of(self, tenant: TenantName) -> int:
         return home_shard(tenant, self._context.shard_count)
 
-    def _unconfirmed_usage(self) -> dict[TenantName, Needs]:
+    def _unconfirmed_usage(self) -> dict[TenantName, ResourceVector]:
         context = self._context
         if not context.policy.tenants or not context.job_registry.is_recovering:
             return {}
         return find_doubts(context.job_registry.tasks_in_doubt(), context.table.unreconciled())
 
-    def _waiting_needs(self) -> dict[TenantName, Needs]:
+    def _waiting_needs(self) -> dict[TenantName, ResourceVector]:
         """Return the total needs of each tenant's waiting tasks."""
-        waiting_needs: dict[TenantName, Needs] = {}
+        waiting_needs: dict[TenantName, ResourceVector] = {}
         for step in self._context.job_registry.startable_steps():
             tenant = step.job.spec.tenant
-            needs = times(step.needs, len(step.waiting))
-            waiting_needs[tenant] = plus(waiting_needs.get(tenant, Needs()), needs)
+            needs = scale_vector(step.needs, len(step.waiting))
+            waiting_needs[tenant] = add_vectors(waiting_needs.get(tenant, ResourceVector()), needs)
         return waiting_needs
 
-    def _log_request(self, event: str, request: QuotaRequest, amount: Needs) -> None:
+    def _log_request(self, event: str, request: QuotaRequest, amount: ResourceVector) -> None:
         self._context.log(
             event,
             tenant=request.tenant,
--- a/src/onyxspoke/core/shard/run_manager.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from onyxspoke.core.codes import ResultCode
-from onyxspoke.core.jobs.crashes import Blame
+from onyxspoke.core.jobs.crashes import CrashBlame
 from onyxspoke.core.jobs.model import RunKey, StepKey
-from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
+from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, task_with_checkpoint
 from onyxspoke.core.jobs.states import JobState, RunEnd, RunState, TaskState
 from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
 from onyxspoke.core.placement.capacity_seeker import PreemptionRequest
@@ -39,7 +39,7 @@
         """Reserve capacity and quota for a run until its end is certain."""
         run.worker.add(run)
         run.task.placed_on = run.worker.worker_id
-        self._context.ledger.add(run.task.step.job.spec.tenant, run.needs)
+        self._context.quota_usage.add(run.task.step.job.spec.tenant, run.needs)
 
     def stop(self, run: Run, now: float, reason: str) -> None:
         """Order a worker to stop a run; the order is repeated until the run has ended."""
@@ -149,10 +149,10 @@
 
     def _record_start(self, run: Run, now: float) -> None:
         job = run.task.step.job
-        if not job.begun:
+        if not job.has_started:
             seconds = now - job.accepted_at
             self._context.emit(JobStarted(job.spec.queue.name, job.spec.tenant, seconds))
-        self._context.job_registry.task_begun(run.task, now)
+        self._context.job_registry.task_run_confirmed(run.task, now)
 
     def abandon_runs(
         self,
@@ -171,7 +171,7 @@
         is_crash = has_crashed(worker, reason)
         blamed = blame_runs(worker, now) if is_crash else []
         tasks_in_doubt = (
-            self._context.job_registry.tasks_doubted_on(worker.worker_id) if is_crash else []
+            self._context.job_registry.tasks_in_doubt_on(worker.worker_id) if is_crash else []
         )
         if next_incarnation is not None:
             self.transfer_unconfirmed_starts(worker, next_incarnation, now)
@@ -184,7 +184,7 @@
         for task in tasks_in_doubt:
             # Only the previous holder knew whether the task was ordered, and which other runs had
             # just started.
-            self._record_crash(task, worker, Blame.DOUBTED, now)
+            self._record_crash(task, worker, CrashBlame.UNCONFIRMED, now)
 
     def transfer_unconfirmed_starts(
         self, worker: Worker, next_incarnation: Worker, now: float
@@ -214,7 +214,9 @@
         else:
             self.stop(run, now, "worker_started_again")
 
-    def _record_crash(self, task: TaskProgress, worker: Worker, blame: Blame, now: float) -> None:
+    def _record_crash(
+        self, task: TaskProgress, worker: Worker, blame: CrashBlame, now: float
+    ) -> None:
         """Count a worker's crash against a task before the task can start again."""
         is_given_up = self._context.job_registry.task_crashed(task, blame, now)
         crash_counts = task.crashes
@@ -238,7 +240,7 @@
         self._stopping_runs.pop(run.key, None)
         worker = run.worker
         worker.remove(run)
-        self._context.ledger.remove(run.task.step.job.spec.tenant, run.needs)
+        self._context.quota_usage.remove(run.task.step.job.spec.tenant, run.needs)
         self._context.table.note_capacity_gain(worker)
         worker.note_ended(run.key, end)
         task = run.task
@@ -247,7 +249,7 @@
             task.placed_on = ""
         self._context.needs_placement = True
         if end is RunEnd.FAILED:
-            task.failed_on = worker.worker_id
+            task.last_failed_worker_id = worker.worker_id
             self._context.job_registry.task_failed(task, run.number, now)
             if worker.health.note_failure(task.step.job.job_id, now):
                 self._context.log("worker_avoided", worker=worker.worker_id, reason="failures")
@@ -258,7 +260,7 @@
         elif end is RunEnd.DONE:
             self.complete_task(task, now)
         elif task.state is TaskState.ACTIVE:
-            self._context.job_registry.task_waits(task)
+            self._context.job_registry.task_requeued(task)
         self.stop_runs_if_job_ended(task.step, now)
 
     def _end_gang_member(self, run: Run, gang: GangRun, end: RunEnd, now: float) -> None:
@@ -275,7 +277,7 @@
             self.gangs.pop(step.key, None)
             for task in step.tasks:
                 if task.state is TaskState.ACTIVE:
-                    self._context.job_registry.task_waits(task)
+                    self._context.job_registry.task_requeued(task)
 
     def complete_task(self, task: TaskProgress, now: float) -> None:
         """Record a successful end, which completes a task or a whole gang.
@@ -284,7 +286,7 @@
         """
         step = task.step
         if step.spec.long_running:
-            self._context.job_registry.task_waits(task)
+            self._context.job_registry.task_requeued(task)
             return
         tasks = step.tasks if step.spec.gang else [task]
         for ended in tasks:
@@ -303,7 +305,7 @@
     def note_checkpoint(self, task: TaskProgress, checkpoint: str) -> None:
         """Record the checkpoint from which a task may resume, if a worker reported one."""
         if checkpoint:
-            self._context.job_registry.note_checkpoint(checkpoint_holder(task), checkpoint)
+            self._context.job_registry.note_checkpoint(task_with_checkpoint(task), checkpoint)
 
     def stop_incomplete_gangs(self, now: float, keys: set[StepKey] | None = None) -> None:
         """Stop gangs that lack members, once all runs of those gangs are known.
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import RunKey
-from onyxspoke.core.jobs.progress import StepProgress, checkpoint_of
+from onyxspoke.core.jobs.progress import StepProgress, resume_checkpoint
 from onyxspoke.core.jobs.states import RunEnd, RunState
 from onyxspoke.core.placement.isolation import isolate_worker_of
 from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
@@ -69,10 +69,10 @@
         """Create a run for one task, and reserve capacity for it."""
         task, worker = placement.task, placement.worker
         run = Run(task, number, worker, now, gang)
-        run.is_resumed = bool(checkpoint_of(task))
+        run.is_resumed = bool(resume_checkpoint(task))
         task.run = run
         self._run_manager.reserve_capacity(run)
-        self._context.job_registry.task_started(task)
+        self._context.job_registry.task_activated(task)
         isolate_worker_of(run, now)
         return run
 
@@ -141,7 +141,7 @@
                 run=run.key,
                 payload=job.spec.payload,
                 until_ms=run.start_valid_until_ms,
-                checkpoint=checkpoint_of(task),
+                checkpoint=resume_checkpoint(task),
                 ticket=self._ticket_for(run, now) or "",
             )
         )
@@ -183,8 +183,8 @@
 
     def _next_run_number(self, step: StepProgress) -> int:
         first_number_of_token = self._context.token * RUN_NUMBERS_PER_TOKEN
-        step.last_number = max(step.last_number + 1, first_number_of_token)
-        return step.last_number
+        step.last_run_number = max(step.last_run_number + 1, first_number_of_token)
+        return step.last_run_number
 
 
 class _SendStartsAfterCommit:
--- a/src/onyxspoke/core/shard/tenant_summary.py
+++ b/src/onyxspoke/core/shard/tenant_summary.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.tenants.policy import TenantName
 
@@ -18,9 +18,9 @@
     ----------
     running_jobs, waiting_jobs : int
         Unfinished jobs of which a task has started, and of which none has.
-    used : Needs
+    used : ResourceVector
         Capacity held by its runs, including runs in doubt and runs that are being stopped.
-    quota : Needs
+    quota : ResourceVector
         The part of its quota that this shard may use; 0 means no limit.
     over_quota_steps : int
         Steps that wait because the quota is used up.
@@ -32,8 +32,8 @@
     weight: float
     running_jobs: int = 0
     waiting_jobs: int = 0
-    used: Needs = Needs()
-    quota: Needs = Needs()
+    used: ResourceVector = ResourceVector()
+    quota: ResourceVector = ResourceVector()
     over_quota_steps: int = 0
     owed: int = 0
     beyond: int = 0
@@ -48,7 +48,7 @@
 
 
 def summarise_tenants(
-    context: ShardContext, allocation_of: Callable[[TenantName], Needs]
+    context: ShardContext, allocation_of: Callable[[TenantName], ResourceVector]
 ) -> list[TenantSummary]:
     """Return the summaries of all configured tenants, sorted by name."""
     policies = context.policy.tenants
@@ -56,10 +56,10 @@
         name: TenantSummary(
             tenant=name,
             weight=policy.weight,
-            used=context.ledger.used(name),
+            used=context.quota_usage.used(name),
             quota=_limited_amounts(allocation_of(name), policy.quota),
-            owed=context.shares.owed_count(name),
-            beyond=context.shares.beyond_count(name),
+            owed=context.share_meter.entitled_count(name),
+            beyond=context.share_meter.over_share_count(name),
         )
         for name, policy in policies.items()
     }
@@ -67,7 +67,7 @@
         summary = summaries.get(job.spec.tenant)
         if summary is None or job.state.is_final:
             continue
-        if job.begun:
+        if job.has_started:
             summary.running_jobs += 1
         else:
             summary.waiting_jobs += 1
@@ -75,9 +75,9 @@
     return [summaries[name] for name in sorted(summaries)]
 
 
-def _limited_amounts(allocation: Needs, quota: Needs) -> Needs:
+def _limited_amounts(allocation: ResourceVector, quota: ResourceVector) -> ResourceVector:
     """Return a shard's part of a quota, with 0 for resources that the quota does not limit."""
-    return Needs(
+    return ResourceVector(
         *(
             allocated if quota_limit else 0
             for allocated, quota_limit in zip(allocation, quota, strict=True)
--- a/src/onyxspoke/core/shard/worker_manager.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -284,7 +284,7 @@
         self._is_recovery_complete = True
         self._context.log("recovery_complete", workers=len(self._context.table.workers))
         self._context.job_registry.is_recovering = False
-        self._context.job_registry.settle_doubt(now)
+        self._context.job_registry.requeue_tasks_in_doubt(now)
         self._run_manager.stop_incomplete_gangs(now)
         self._context.needs_placement = True
 
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 from onyxspoke.core.placement.worker_clock import SLOWEST_CLOCK_FACTOR
 from onyxspoke.core.placement.worker_record import (
     EntryFault,
@@ -196,7 +196,7 @@
         worker.born_ms = born_ms
         starts_ms = (*previous.previous_starts_ms, previous.born_ms)
         worker.previous_starts_ms = starts_ms[-MAX_PREVIOUS_STARTS:]
-        worker.speed = self._context.durations.begin_life(
+        worker.speed = self._context.durations.begin_incarnation(
             worker.worker_id, born_ms, worker.record.kind, now
         )
         self._load_unresolved_starts(worker, now)
@@ -218,7 +218,7 @@
         """Return the longest lease that a worker grants, in seconds of the holder's clock."""
         return self._context.options.maximum_hold_ms / _MILLISECONDS * SLOWEST_CLOCK_FACTOR
 
-    def _update_capacity(self, worker: Worker, capacity: Needs) -> None:
+    def _update_capacity(self, worker: Worker, capacity: ResourceVector) -> None:
         """Handle a change of a worker's capacity."""
         previous = worker.record.capacity
         _log_worker(
@@ -238,7 +238,7 @@
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
         worker = Worker(record, self._previous_leases_until)
-        worker.speed = self._context.durations.begin_life(
+        worker.speed = self._context.durations.begin_incarnation(
             record.worker_id, record.born_ms, record.kind, now
         )
         self._context.table.workers[record.worker_id] = worker
