--- a/features/steps/differential_job_steps.py
+++ b/features/steps/differential_job_steps.py
@@ -105,8 +105,10 @@
 
 
 def _compare_job(context: Any, cluster: Any, node: Any, naive: NaiveCell, job: JobSpec) -> None:
-    told: list[str] = []
-    cluster.call(node, job.job_id, StateCall(job.job_id), lambda reply: told.append(reply.state))
+    reported_states: list[str] = []
+    cluster.call(
+        node, job.job_id, StateCall(job.job_id), lambda reply: reported_states.append(reply.state)
+    )
     cluster.run(1.0)
     done = sum(
         1
@@ -114,7 +116,7 @@
         if key.job_id == job.job_id and facts.is_done
     )
     expected = naive.final_state(job)
-    assert told == [expected], (job, told, expected)
+    assert reported_states == [expected], (job, reported_states, expected)
     if naive.done_tasks(job) is not None:
         assert done == naive.done_tasks(job), (job, done)
     context.compared += 1
@@ -144,20 +146,20 @@
     worker = Worker(record, 0.0)
     job = JobProgress(_make_job(1, [(10, False, False)]), 0.0)
     [step] = job.begin_repetition(0, 0.0)
-    held: dict[int, Run] = {}
+    active_runs: dict[int, Run] = {}
     for number, (starts, index) in enumerate(drawn, start=1):
-        if starts and index not in held:
-            held[index] = Run(step.tasks[index], number, worker, 0.0)
-            worker.add(held[index])
-        elif not starts and index in held:
-            run = held.pop(index)
+        if starts and index not in active_runs:
+            active_runs[index] = Run(step.tasks[index], number, worker, 0.0)
+            worker.add(active_runs[index])
+        elif not starts and index in active_runs:
+            run = active_runs.pop(index)
             worker.remove(run)
             worker.remove(run)
             worker.note_ended(run.key, RunEnd.DONE)
         needs = step.spec.needs
-        assert worker.free_processors == 10_000 - len(held) * needs.processors_milli
-        assert worker.free_memory == 10_000 - len(held) * needs.memory_mb
-        assert set(worker.runs) == {run.key for run in held.values()}
+        assert worker.free_processors == 10_000 - len(active_runs) * needs.processors_milli
+        assert worker.free_memory == 10_000 - len(active_runs) * needs.memory_mb
+        assert set(worker.runs) == {run.key for run in active_runs.values()}
         context.compared += 1
 
 
@@ -180,33 +182,33 @@
 
 
 def _check_records(context: Any, shapes: list[Any], drawn: list[Any]) -> None:
-    book = JobBook(120.0)
+    registry = JobBook(120.0)
     spec = _make_job(7, shapes)
-    book.submit(spec, 1.0)
-    job = book.jobs[spec.job_id]
+    registry.submit(spec, 1.0)
+    job = registry.jobs[spec.job_id]
     tasks = [task for step in job.steps() for task in step.tasks]
     for number, (index, move) in enumerate(drawn, start=1):
         task = tasks[index % len(tasks)]
         if job.state.is_final or task.state is TaskState.DONE:
             continue
         if move == "done":
-            book.task_done(task, 2.0)
+            registry.task_done(task, 2.0)
         elif move == "failed":
-            book.task_failed(task, number, 2.0)
+            registry.task_failed(task, number, 2.0)
         else:
-            book.note_checkpoint(task, f"save-{number}")
-    again = JobProgress(decode_spec("k", encode_spec(spec)), 5.0)
-    again.begin_repetition(0, 5.0)
-    restore_progress(again, decode_progress("k", encode_progress(job)), 5.0)
-    assert again.spec == spec
-    assert again.state is job.state
+            registry.note_checkpoint(task, f"save-{number}")
+    restored = JobProgress(decode_spec("k", encode_spec(spec)), 5.0)
+    restored.begin_repetition(0, 5.0)
+    restore_progress(restored, decode_progress("k", encode_progress(job)), 5.0)
+    assert restored.spec == spec
+    assert restored.state is job.state
     if job.state is JobState.QUEUED:
-        _assert_same_tasks(job, again)
+        _assert_same_tasks(job, restored)
     context.compared += 1
 
 
-def _assert_same_tasks(job: JobProgress, again: JobProgress) -> None:
-    for before, after in zip(job.steps(), again.steps(), strict=True):
+def _assert_same_tasks(job: JobProgress, restored: JobProgress) -> None:
+    for before, after in zip(job.steps(), restored.steps(), strict=True):
         assert before.done_count == after.done_count
         assert before.failed_gang_runs == after.failed_gang_runs
         for task, other in zip(before.tasks, after.tasks, strict=True):
--- a/features/steps/job_promise_steps.py
+++ b/features/steps/job_promise_steps.py
@@ -76,7 +76,7 @@
 
 
 def _start_before_commit(step: StepProgress) -> bool:
-    return bool(step.waiting) and step.blocked_by == 0 and not step.job.state.is_final
+    return bool(step.waiting) and step.unfinished_dependencies == 0 and not step.job.state.is_final
 
 
 @contextmanager
--- a/src/onyxspoke/core/jobs/__init__.py
+++ b/src/onyxspoke/core/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of several steps: what callers hand in, how far each is, what outlives a process."""
+"""Jobs of several steps: their specifications, their progress and their records."""
--- a/src/onyxspoke/core/jobs/book.py
+++ b/src/onyxspoke/core/jobs/book.py
@@ -1,7 +1,7 @@
-"""All jobs of one shard: accepted, advanced by what becomes of their runs, remembered.
+"""The registry of all jobs of one shard: their submission, progress, recovery and retention.
 
-Every change that must outlive the holder marks its job as dirty; the commit queue of the
-shard takes the marks and writes the records.
+Every change that must survive a change of holder marks its job as dirty. The commit queue of the
+shard writes the records of dirty jobs and clears the marks.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from onyxspoke.core.tenants.keys import may_see
 from onyxspoke.core.tenants.policy import TenantName
 
-#: Repetitions of one job that may be under way at once.
-MAXIMUM_OPEN_REPETITIONS = 64
+#: Maximum number of repetitions of one job that may be active at the same time.
+MAXIMUM_ACTIVE_REPETITIONS = 64
 
 
 class Submission(Enum):
-    """What came of handing a job in."""
+    """The outcome of submitting a job."""
 
     NEW = "new"
     KNOWN = "known"
@@ -39,97 +39,97 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EarlyCancel:
-    """A cancel that came before its job: whose it was, and when it came."""
+class CancelBeforeSubmission:
+    """A cancel call that arrived before its job: the calling tenant and the time of arrival."""
 
     tenant: TenantName
-    at: float
+    cancelled_at: float
 
 
 class JobBook:
-    """The jobs of one shard.
+    """The registry of the jobs of one shard.
 
     Parameters
     ----------
-    status_seconds : float
-        For how long a finished job is remembered.
-    work_of : callable
-        Gives what is known of the work of a queue and tenant.
+    retention_seconds : float
+        How long a finished job, or a cancel that arrived before its job, is retained.
+    work_model_of : callable
+        Returns the learned work model of a queue and tenant.
     """
 
     def __init__(
         self,
-        status_seconds: float,
-        work_of: Callable[[str, TenantName], WorkModel] = unlearned_work,
+        retention_seconds: float,
+        work_model_of: Callable[[str, TenantName], WorkModel] = unlearned_work,
     ) -> None:
-        self._status_seconds = status_seconds
-        self._work_of = work_of
+        self._retention_seconds = retention_seconds
+        self._work_model_of = work_model_of
         self.jobs: dict[JobId, JobProgress] = {}
         self.startable: dict[StepKey, StepProgress] = {}
         self.dirty: dict[JobId, None] = {}
-        #: Cancels that came before the job did.
-        self.cancelled_before: dict[JobId, EarlyCancel] = {}
-        #: Set until it is known what a former holder left running.
+        #: Cancel calls that arrived before their jobs.
+        self.cancelled_before: dict[JobId, CancelBeforeSubmission] = {}
+        #: True until the holder knows which runs previous holders left running.
         self.is_recovering = False
-        #: Whether former holders recorded each start before they ordered it, so that only tasks
-        #: that are on record with a worker may run there.
+        #: Whether previous holders recorded each start before ordering it, so that a worker may run
+        #: only tasks whose placement on it is recorded.
         self.starts_are_recorded = False
-        #: Tasks in doubt, by the worker that may run them.
-        self._doubted_on: dict[WorkerId, list[TaskProgress]] = {}
+        #: Tasks in doubt, grouped by the worker that may run them.
+        self._in_doubt_by_worker: dict[WorkerId, list[TaskProgress]] = {}
         self._scheduled: dict[JobId, JobProgress] = {}
         self._finished: dict[JobId, None] = {}
 
     # Callers
 
     def submit(self, spec: JobSpec, now: float, handed_in_at: float | None = None) -> Submission:
-        """Take a job in; the same identifier again changes nothing.
+        """Add a submitted job; a second submission with the same identifier changes nothing.
 
-        ``handed_in_at`` is when it was first handed in, where that was before.
+        ``handed_in_at`` is the time of the first submission, if an earlier one was refused.
         """
         if spec.job_id in self.jobs:
             return Submission.KNOWN
         if self.was_cancelled_before(spec):
             return Submission.CANCELLED_BEFORE
         accepted_at = now if handed_in_at is None else handed_in_at
-        job = JobProgress(spec, accepted_at, self._work_of(spec.queue.name, spec.tenant))
+        job = JobProgress(spec, accepted_at, self._work_model_of(spec.queue.name, spec.tenant))
         self.jobs[spec.job_id] = job
         self.dirty[spec.job_id] = None
         if spec.schedule.count > 0:
             self._scheduled[spec.job_id] = job
         else:
-            self._begin_repetition(job, 0, now)
+            self._start_repetition(job, 0, now)
         return Submission.NEW
 
     def was_cancelled_before(self, spec: JobSpec) -> bool:
-        """Return whether a cancel by the job's tenant came before the job did."""
+        """Return whether the job's tenant cancelled the job before submitting it."""
         cancel = self.cancelled_before.get(spec.job_id)
         return cancel is not None and may_see(cancel.tenant, spec.tenant)
 
     def withdraw(self, job_id: JobId) -> None:
-        """Forget a job whose record was never sent to the store, but not that it was cancelled."""
+        """Remove a job whose record was never sent to the store, but keep its cancellation."""
         job = self.jobs.pop(job_id)
         self.dirty.pop(job_id, None)
         self._drop_steps(job)
         self._scheduled.pop(job_id, None)
         self._finished.pop(job_id, None)
         if job.state is JobState.CANCELLED:
-            self.cancelled_before[job_id] = EarlyCancel(job.spec.tenant, job.final_at)
+            self.cancelled_before[job_id] = CancelBeforeSubmission(job.spec.tenant, job.final_at)
             self.dirty[job_id] = None
 
     def find_visible(self, job_id: JobId, tenant: TenantName) -> JobProgress | None:
-        """Return a job, unless it is another tenant's."""
+        """Return a job if it is known and visible to the tenant."""
         job = self.jobs.get(job_id)
         return job if job is not None and may_see(job.spec.tenant, tenant) else None
 
     def cancel(self, job_id: JobId, tenant: TenantName, now: float) -> JobProgress | None:
-        """Cancel a job; one not known is remembered as cancelled, should it come yet.
+        """Cancel a job; an unknown identifier is recorded as cancelled before submission.
 
-        Another tenant's job is not known to the caller, and stays as it is.
+        A job of another tenant is not visible to the caller and stays unchanged.
         """
         job = self.find_visible(job_id, tenant)
         if job is None:
             if job_id not in self.jobs:
-                self.cancelled_before.setdefault(job_id, EarlyCancel(tenant, now))
+                self.cancelled_before.setdefault(job_id, CancelBeforeSubmission(tenant, now))
                 self.dirty[job_id] = None
             return None
         if not job.state.is_final:
@@ -137,7 +137,7 @@
         return job
 
     def waiting_count(self, queue: str) -> int:
-        """Return how many accepted jobs of a queue have not begun."""
+        """Return how many accepted jobs of a queue have not started."""
         return sum(
             1
             for job in self.jobs.values()
@@ -152,8 +152,8 @@
     def restore(
         self, spec: JobSpec, record: ProgressRecord | None, accepted_at: float, now: float
     ) -> None:
-        """Take in what the store holds of a job."""
-        job = JobProgress(spec, accepted_at, self._work_of(spec.queue.name, spec.tenant))
+        """Restore a job from its records in the store."""
+        job = JobProgress(spec, accepted_at, self._work_model_of(spec.queue.name, spec.tenant))
         job.spec_is_stored = True
         job.committed_state = JobState.QUEUED
         self.jobs[spec.job_id] = job
@@ -168,14 +168,14 @@
             job.begin_repetition(0, now)
         for step in job.steps():
             self._recount_dependencies(step, now)
-            self._doubt_restored(step)
-            self._refresh(step)
+            self._mark_restored_in_doubt(step)
+            self._update_startable(step)
         self._finish_if_done(job, now)
 
     def restore_finished(self, job_id: JobId, record: ProgressRecord, now: float) -> None:
-        """Take in a finished job, or an early cancel, of which only the progress is kept."""
+        """Restore a finished job, or a cancel before submission, from its progress record."""
         if not record.was_submitted:
-            self.cancelled_before[job_id] = EarlyCancel(record.tenant, now)
+            self.cancelled_before[job_id] = CancelBeforeSubmission(record.tenant, now)
             return
         spec = _placeholder_spec(job_id, record.tenant)
         job = JobProgress(spec, now)
@@ -184,70 +184,70 @@
         self._finished[job_id] = None
 
     def doubted_workers(self) -> list[WorkerId]:
-        """Return the workers that may run tasks which are in doubt."""
-        return list(self._doubted_on)
+        """Return the workers that may run tasks in doubt."""
+        return list(self._in_doubt_by_worker)
 
     def tasks_doubted_on(self, worker_id: WorkerId) -> list[TaskProgress]:
-        """Return the tasks that a former holder placed on a worker, and no worker has shown yet."""
-        tasks = self._doubted_on.get(worker_id, ())
+        """Return the tasks in doubt that previous holders placed on a worker."""
+        tasks = self._in_doubt_by_worker.get(worker_id, ())
         return [task for task in tasks if task.state is TaskState.IN_DOUBT]
 
     def tasks_in_doubt(self) -> Iterator[TaskProgress]:
-        """Return the tasks that a former holder may have started and no worker has shown yet."""
+        """Return the tasks that are in doubt because previous holders may have started them."""
         if self.starts_are_recorded:
-            tasks = (task for tasks in self._doubted_on.values() for task in tasks)
+            tasks = (task for tasks in self._in_doubt_by_worker.values() for task in tasks)
         else:
             steps = (step for job in self.jobs.values() for step in job.steps() if step.in_doubt)
             tasks = (task for step in steps for task in step.tasks)
         return (task for task in tasks if task.state is TaskState.IN_DOUBT)
 
     def settle_worker(self, worker_id: WorkerId, now: float) -> list[StepProgress]:
-        """Let the tasks wait again that a worker might have run and does not.
+        """Move the tasks in doubt on a worker that does not run them back to waiting.
 
         Returns
         -------
         list of StepProgress
-            Their steps.
+            The steps of all tasks that were recorded as in doubt on the worker.
         """
         steps: dict[StepKey, StepProgress] = {}
-        for task in self._doubted_on.pop(worker_id, ()):
+        for task in self._in_doubt_by_worker.pop(worker_id, ()):
             step = task.step
             steps[step.key] = step
             if task.state is TaskState.IN_DOUBT:
                 task.placed_on = ""
                 task.move_to(TaskState.WAITING)
                 step.ready_at = now
-                self._refresh(step)
+                self._update_startable(step)
         return list(steps.values())
 
     def settle_doubt(self, now: float) -> None:
-        """Let every task wait again that no worker turned out to run."""
+        """Move every task that is still in doubt back to waiting."""
         for job in self.jobs.values():
             for step in job.steps():
                 if step.in_doubt:
-                    self._settle_step(step, now)
+                    self._requeue_in_doubt(step, now)
 
     def mark_committed(self, job: JobProgress, state: JobState) -> None:
-        """The store has the job in this state; with its first commit it may be started."""
+        """Handle the commit of a job in this state; tasks may be started after the first commit."""
         is_first = job.committed_state is None
         job.committed_state = state
         if state.is_final:
-            job.shrink()
+            job.discard_details()
         elif is_first:
             for step in job.steps():
-                self._refresh(step)
+                self._update_startable(step)
 
     # Tasks
 
     def task_started(self, task: TaskProgress) -> None:
-        """A run of a task was decided on, or found on a worker."""
+        """Handle that a run of a task was planned, or was found on a worker."""
         task.move_to(TaskState.ACTIVE)
-        self._refresh(task.step)
+        self._update_startable(task.step)
 
     def task_begun(self, task: TaskProgress, now: float) -> None:
-        """A worker said that it has, or had, a run of a task: its job waits no longer.
+        """Handle a worker's report that it has, or had, a run of a task: the job has started.
 
-        An order alone says nothing: it may be turned away, or never arrive.
+        A start order alone does not count, as the worker may reject the order or never get it.
         """
         job = task.step.job
         if job.begun:
@@ -258,37 +258,38 @@
             self.dirty[job.job_id] = None
 
     def task_waits(self, task: TaskProgress) -> None:
-        """A run ended otherwise than well, or never began, or is to be started again."""
+        """Move a task back to waiting, for example because its run failed or never started."""
         task.move_to(TaskState.WAITING)
-        self._refresh(task.step)
+        self._update_startable(task.step)
 
     def task_done(self, task: TaskProgress, now: float) -> None:
-        """A run of a task ended well."""
+        """Handle that a run of a task completed successfully."""
         if task.state is TaskState.DONE:
             return
         task.move_to(TaskState.DONE)
         step = task.step
         self.dirty[step.job.job_id] = None
-        self._refresh(step)
+        self._update_startable(step)
         if step.is_done and not step.job.state.is_final:
             self._unblock_dependents(step, now)
             self._finish_if_done(step.job, now)
 
     def task_failed(self, task: TaskProgress, number: int, now: float) -> None:
-        """A run of a task ended ``failed``; the job fails with the last attempt."""
+        """Handle that a run of a task failed; the job fails with the last allowed attempt."""
         step = task.step
-        numbers = step.failed_gang_runs if step.spec.gang else task.failed_runs
-        if number in numbers or step.spec.long_running:
+        failed_run_numbers = step.failed_gang_runs if step.spec.gang else task.failed_runs
+        if number in failed_run_numbers or step.spec.long_running:
             return
-        numbers.append(number)
+        failed_run_numbers.append(number)
         self.dirty[step.job.job_id] = None
-        self._fail_if_hopeless(step, len(numbers), now)
+        self._fail_after_last_attempt(step, len(failed_run_numbers), now)
 
     def task_crashed(self, task: TaskProgress, blame: Blame, now: float) -> bool:
-        """A worker went down under a task; return whether its job is given up for it.
+        """Count a worker crash during a run of a task; return whether the job fails because of it.
 
-        No attempt is counted: those are for ends that workers report.  Of lasting tasks, too,
-        crashes are bounded, as each costs a worker and what else runs there.
+        A crash does not count as an attempt, because attempts count only ends that workers report.
+        Crashes of long-running tasks are limited too, as each one also ends the other runs on the
+        worker.
         """
         job = task.step.job
         if job.state.is_final or task.state is TaskState.DONE:
@@ -298,72 +299,72 @@
             task.step.crashed_at = now
             task.step.done_before_crash = task.step.done_count
         self.dirty[job.job_id] = None
-        if not task.crashes.is_hopeless:
+        if not task.crashes.reaches_crash_limit:
             return False
         self._finish(job, JobState.FAILED, now)
         return True
 
     def note_checkpoint(self, task: TaskProgress, checkpoint: str) -> None:
-        """Remember from where a task may resume."""
+        """Store the checkpoint that a task may resume from."""
         if checkpoint and checkpoint != task.checkpoint:
             task.checkpoint = checkpoint
             self.dirty[task.step.job.job_id] = None
 
     def find_task(self, key: TaskKey) -> TaskProgress | None:
-        """Return a task by its name."""
+        """Return a task by its key."""
         job = self.jobs.get(key.job_id)
         return None if job is None else job.find_task(key)
 
     # Time
 
-    def keep(self, now: float, wall_ms: float, early_ms: float) -> None:
-        """Begin repetitions that are due; forget what was finished long ago.
+    def keep(self, now: float, wall_clock_ms: float, start_ahead_ms: float) -> None:
+        """Start repetitions that are due, and remove jobs and cancels after their retention time.
 
         Parameters
         ----------
-        wall_ms : float
-            Time of day, counted from 1970.
-        early_ms : float
-            How far ahead of its time a repetition may begin.
+        wall_clock_ms : float
+            Unix time in milliseconds.
+        start_ahead_ms : float
+            How long before its due time a repetition may start, in milliseconds.
         """
         for job in list(self._scheduled.values()):
-            self._begin_due(job, now, wall_ms + early_ms)
-        horizon = now - self._status_seconds
+            self._start_due_repetitions(job, now, wall_clock_ms + start_ahead_ms)
+        retention_cutoff = now - self._retention_seconds
         for job_id in list(self._finished):
-            if self.jobs[job_id].final_at > horizon:
+            if self.jobs[job_id].final_at > retention_cutoff:
                 break
             del self._finished[job_id]
             del self.jobs[job_id]
             self.dirty[job_id] = None
         for job_id, cancel in list(self.cancelled_before.items()):
-            if cancel.at <= horizon:
+            if cancel.cancelled_at <= retention_cutoff:
                 del self.cancelled_before[job_id]
                 self.dirty[job_id] = None
 
     def startable_steps(self) -> Iterator[StepProgress]:
-        """Return steps some task of which may be started."""
+        """Return the steps that have at least one task that may be started."""
         return iter(self.startable.values())
 
     # Internals
 
-    def _begin_due(self, job: JobProgress, now: float, until_ms: float) -> None:
+    def _start_due_repetitions(self, job: JobProgress, now: float, due_until_ms: float) -> None:
         schedule = job.spec.schedule
         for repetition in range(schedule.count):
-            if len(job.repetitions) >= MAXIMUM_OPEN_REPETITIONS:
+            if len(job.repetitions) >= MAXIMUM_ACTIVE_REPETITIONS:
                 return
-            if schedule.start_at_ms + repetition * schedule.interval_ms > until_ms:
+            if schedule.start_at_ms + repetition * schedule.interval_ms > due_until_ms:
                 return
             if repetition in job.repetitions or repetition in job.done_repetitions:
                 continue
-            self._begin_repetition(job, repetition, now)
+            self._start_repetition(job, repetition, now)
 
-    def _begin_repetition(self, job: JobProgress, repetition: int, now: float) -> None:
+    def _start_repetition(self, job: JobProgress, repetition: int, now: float) -> None:
         for step in job.begin_repetition(repetition, now):
             if self.is_recovering and job.spec_is_stored and not self.starts_are_recorded:
-                self._put_in_doubt(step)
-            self._refresh(step)
+                self._mark_in_doubt(step)
+            self._update_startable(step)
 
-    def _refresh(self, step: StepProgress) -> None:
+    def _update_startable(self, step: StepProgress) -> None:
         if step.is_startable:
             self.startable[step.key] = step
         else:
@@ -372,39 +373,41 @@
     def _unblock_dependents(self, done: StepProgress, now: float) -> None:
         for step in done.job.repetitions[done.key.repetition]:
             if done.key.step in step.spec.depends_on:
-                step.blocked_by -= 1
+                step.unfinished_dependencies -= 1
                 step.ready_at = now
-                self._refresh(step)
+                self._update_startable(step)
 
     def _recount_dependencies(self, step: StepProgress, now: float) -> None:
         steps = step.job.repetitions[step.key.repetition]
-        step.blocked_by = sum(1 for number in step.spec.depends_on if not steps[number].is_done)
+        step.unfinished_dependencies = sum(
+            1 for number in step.spec.depends_on if not steps[number].is_done
+        )
         step.ready_at = now
 
-    def _doubt_restored(self, step: StepProgress) -> None:
-        """Put in doubt what a former holder may have started of a step."""
+    def _mark_restored_in_doubt(self, step: StepProgress) -> None:
+        """Mark as in doubt the tasks of a step that a previous holder may have started."""
         if not self.starts_are_recorded:
-            self._put_in_doubt(step)
+            self._mark_in_doubt(step)
             return
         for task in step.tasks:
             if task.placed_on and task.state is TaskState.WAITING:
                 task.move_to(TaskState.IN_DOUBT)
-                self._doubted_on.setdefault(task.placed_on, []).append(task)
+                self._in_doubt_by_worker.setdefault(task.placed_on, []).append(task)
 
-    def _put_in_doubt(self, step: StepProgress) -> None:
+    def _mark_in_doubt(self, step: StepProgress) -> None:
         for task in step.tasks:
             if task.state is TaskState.WAITING:
                 task.move_to(TaskState.IN_DOUBT)
 
-    def _settle_step(self, step: StepProgress, now: float) -> None:
+    def _requeue_in_doubt(self, step: StepProgress, now: float) -> None:
         for task in step.tasks:
             if task.state is TaskState.IN_DOUBT:
                 task.placed_on = ""
                 task.move_to(TaskState.WAITING)
         step.ready_at = now
-        self._refresh(step)
+        self._update_startable(step)
 
-    def _fail_if_hopeless(self, step: StepProgress, failures: int, now: float) -> None:
+    def _fail_after_last_attempt(self, step: StepProgress, failures: int, now: float) -> None:
         job = step.job
         if failures >= job.spec.queue.max_attempts and not job.state.is_final:
             self._finish(job, JobState.FAILED, now)
@@ -437,6 +440,6 @@
 
 
 def _placeholder_spec(job_id: JobId, tenant: TenantName) -> JobSpec:
-    """Return a specification for a finished job; its own was dropped with its end."""
+    """Return a specification for a finished job, whose own was deleted when the job ended."""
     queue = QueuePolicy(name="", service="")
     return JobSpec(job_id=job_id, queue=queue, payload="", steps=(), tenant=tenant)
--- a/src/onyxspoke/core/jobs/crashes.py
+++ b/src/onyxspoke/core/jobs/crashes.py
@@ -1,7 +1,7 @@
-"""How often workers went down under a task, and when the task is given up for it.
+"""Counts of worker crashes during the runs of a task, and the limits at which its job fails.
 
-A worker that goes down reports nothing, so these ends are counted here and not with those that
-workers report; otherwise a task that crashes its workers goes from one to the next for ever.
+A crashed worker reports nothing, so failures that workers report don't include crashes. Without
+these limits, a task that crashes its workers would be restarted on one worker after another.
 """
 
 from __future__ import annotations
@@ -9,28 +9,29 @@
 from enum import Enum
 from typing import NamedTuple
 
-#: Tasks are given up once so many workers went down just after only tasks of their job had begun
-#: there: two of those are no chance, as other crashes seldom follow a start so closely, ...
-ALONE_TO_GIVE_UP = 2
-#: ... once so many went down just after they, and other jobs' tasks, had begun, ...
-RECENT_TO_GIVE_UP = 3
-#: ... once so many went down at any time of their runs, whoever is to blame, which bounds what a
-#: task takes down that crashes its workers late, ...
-CERTAIN_TO_GIVE_UP = 4
-#: ... or once so many went down that may have run them: an order without an answer may have come
-#: too late, and a former holder's may never have been sent.  Counted as certain, those ended jobs
-#: whose orders had gone to workers that were down already, in 2 of 300 explored schedules.
-TOTAL_TO_GIVE_UP = 5
-#: So many that may have run it make a task suspicious, though none is known to have.
-TOTAL_TO_SUSPECT = 2
+#: Limit on crashes shortly after tasks of this job, and of no other job, started on the worker.
+#: Other crashes seldom follow a start so closely, so two of them are not a coincidence.
+SOLE_JOB_CRASH_LIMIT = 2
+#: Limit on crashes shortly after this task started, whether or not other jobs' tasks started too.
+RECENT_START_CRASH_LIMIT = 3
+#: Limit on crashes of workers that are known to have run the task, at any time during the run.
+#: This bounds the damage of a task that crashes its workers long after the start.
+CONFIRMED_CRASH_LIMIT = 4
+#: Limit on crashes of workers that may have run the task. An unanswered start order may have
+#: arrived too late, and an order of a previous holder may never have been sent. These crashes don't
+#: count as confirmed, because the worker may have been down before the order arrived.
+TOTAL_CRASH_LIMIT = 5
+#: A task starts in isolation once this many workers that may have run it have crashed.
+TOTAL_CRASHES_TO_ISOLATE = 2
 
 
 class Blame(Enum):
-    """What speaks for it that a run brought its worker down.
+    """How strongly the crash of a worker is attributed to one run.
 
-    ``NONE``: a lasting task had been at work for long.  ``DOUBTED``: it may never have begun there.
-    ``PRESENT``: it was there.  ``RECENT``: it had just begun, as others had.  ``ALONE``: only tasks
-    of its job had just begun.
+    ``NONE``: a long-running task had run for a long time.  ``DOUBTED``: the run may never have
+    started on the worker.  ``PRESENT``: the run was on the worker.  ``RECENT``: the run had
+    recently started, and so had runs of other jobs.  ``ALONE``: only runs of this job had recently
+    started.
     """
 
     NONE = "none"
@@ -41,11 +42,12 @@
 
 
 class CrashTally(NamedTuple):
-    """Workers that went down under a task.
+    """Numbers of worker crashes during the runs of a task.
 
-    ``total``: those that may have run it.  ``certain``: those that did.  ``recent``: of these,
-    those that went down just after its start.  ``alone``: of these, those where nothing of other
-    jobs had begun.
+    ``total``: crashes of workers that may have run the task.  ``certain``: crashes of workers that
+    are known to have run the task.  ``recent``: the part of ``certain`` that followed shortly after
+    the start of the task.  ``alone``: the part of ``recent`` where no task of another job had
+    recently started on the worker.
     """
 
     total: int = 0
@@ -54,7 +56,7 @@
     alone: int = 0
 
     def add(self, blame: Blame) -> CrashTally:
-        """Return the tally with one more crash; a run that has worked for long clears it."""
+        """Return the tally with one more crash, or an empty tally if the blame is ``NONE``."""
         if blame is Blame.NONE:
             return CrashTally()
         return CrashTally(
@@ -66,15 +68,15 @@
 
     @property
     def is_suspicious(self) -> bool:
-        """Whether the task is to begin apart from others, so that a crash shows who caused it."""
-        return self.recent > 0 or self.total >= TOTAL_TO_SUSPECT
+        """Whether to start the task apart from other jobs, so that a crash identifies its cause."""
+        return self.recent > 0 or self.total >= TOTAL_CRASHES_TO_ISOLATE
 
     @property
-    def is_hopeless(self) -> bool:
-        """Whether the task is not started any more."""
+    def reaches_crash_limit(self) -> bool:
+        """Whether the task has caused too many crashes to be started again."""
         return (
-            self.alone >= ALONE_TO_GIVE_UP
-            or self.recent >= RECENT_TO_GIVE_UP
-            or self.certain >= CERTAIN_TO_GIVE_UP
-            or self.total >= TOTAL_TO_GIVE_UP
+            self.alone >= SOLE_JOB_CRASH_LIMIT
+            or self.recent >= RECENT_START_CRASH_LIMIT
+            or self.certain >= CONFIRMED_CRASH_LIMIT
+            or self.total >= TOTAL_CRASH_LIMIT
         )
--- a/src/onyxspoke/core/jobs/model.py
+++ b/src/onyxspoke/core/jobs/model.py
@@ -1,6 +1,6 @@
-"""What callers hand in: jobs, their steps, and the policy of the queue they stand in.
+"""Specifications of jobs and their steps, and the policy of the queue of a job.
 
-Processors are thousandths of a core, memory is MiB, durations carry their unit in the name.
+Processors are in thousandths of a core and memory is in MiB; durations have their unit in the name.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Needs(NamedTuple):
-    """An amount of each resource that a worker has or a task takes."""
+    """Amounts of each resource: the capacity of a worker, or the needs of a task."""
 
     processors_milli: int = 0
     memory_mb: int = 0
@@ -23,7 +23,7 @@
 
 
 class TaskKey(NamedTuple):
-    """Names one task; ``repetition`` is 0 for a job without times."""
+    """Identifies one task; ``repetition`` is 0 for a job without a schedule."""
 
     job_id: JobId
     repetition: int
@@ -32,12 +32,12 @@
 
     @property
     def step_key(self) -> StepKey:
-        """The step that the task belongs to."""
+        """The key of the step that the task belongs to."""
         return StepKey(self.job_id, self.repetition, self.step)
 
 
 class StepKey(NamedTuple):
-    """Names one step of one repetition of a job."""
+    """Identifies one step of one repetition of a job."""
 
     job_id: JobId
     repetition: int
@@ -45,46 +45,46 @@
 
     @property
     def name(self) -> str:
-        """How logs name the step."""
+        """The name of the step in logs."""
         return f"{self.job_id}.{self.repetition}.{self.step}"
 
 
 class RunKey(NamedTuple):
-    """Names one run: a task and the number of its start."""
+    """Identifies one run: a task and the run number."""
 
     task: TaskKey
     number: int
 
 
 class StepSpec(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One step of a job: so many like tasks.
+    """One step of a job: a number of identical tasks.
 
     Attributes
     ----------
     depends_on : tuple of int
-        Earlier steps all of whose tasks must have ended well before.
+        Numbers of the earlier steps that must complete before this step starts.
     gang : bool
-        The tasks work only together.
+        Whether all tasks of the step must run at the same time.
     same_rack : bool
-        A gang spread over several racks is slower.
+        Whether the gang runs slower when it is spread over several racks.
     required_label : str
         A label that the worker must have.
     preferred_rack : str
-        The rack that holds the data.
+        The rack that stores the input data.
     spread_limit : int
-        Most tasks of the step on one worker; 0 sets no limit.
+        Maximum number of tasks of the step on one worker; 0 sets no limit.
     allow_duplicates : bool
-        Copies of a task may run beside each other.
+        Whether several copies of a task may run at the same time.
     long_running : bool
-        Tasks run until the job is cancelled and are started again however they end.
+        Whether tasks run until the job is cancelled, and restart whenever they end.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        The software image of the tasks; tasks of one image are expected to behave alike.
     target_ms : int
-        Bound on the tail of the answers of a task that serves users; 0 for none.
+        Target for the tail latency of a task that serves users, in milliseconds; 0 sets none.
     fills : bool
-        The tasks take processors that others leave unused, and reserve none.
+        Whether the tasks use only processors that other tasks leave idle, and reserve none.
     disruption_budget : int
-        Tasks that may be away at once by the scheduler's doing; -1 sets no limit.
+        Maximum number of tasks that the scheduler may disrupt at the same time; -1 sets no limit.
     """
 
     task_count: int
@@ -108,25 +108,25 @@
 
     @property
     def needs(self) -> Needs:
-        """What one task reserves of a worker's room."""
+        """The resources that one task reserves on its worker."""
         processors = 0 if self.fills else self.processors_milli
         return Needs(processors, self.memory_mb, self.accelerators)
 
 
 class AdvicePolicy(msgspec.Struct, frozen=True, array_like=True):
-    """How long the advice service takes, and for how long its word holds."""
+    """Expected call durations of the advice service, and how long its advice stays valid."""
 
     decide_ms: float
     per_item_ms: float
     validity_ms: float
 
     def call_seconds(self, count: int) -> float:
-        """Return how long a call about so many workers takes."""
+        """Return the expected duration of a call about this number of workers, in seconds."""
         return (self.decide_ms + self.per_item_ms * count) / _MILLISECONDS
 
 
 class QueuePolicy(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A queue of jobs, as the operator configures it; priority 0 goes first."""
+    """The operator's configuration of a job queue; priority 0 is the highest."""
 
     name: str
     service: str
@@ -138,7 +138,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True, array_like=True):
-    """Times of a job that is run more than once; time K is due at start + K x interval."""
+    """Schedule of a repeated job; repetition K is due at ``start_at_ms`` + K x ``interval_ms``."""
 
     count: int = 0
     start_at_ms: int = 0
@@ -146,17 +146,18 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A job as its caller handed it in, and the policy in force then.
+    """A job as its caller submitted it, with the queue policy at that time.
 
     Attributes
     ----------
     accepted_at_ms : int
-        Time of day at which a holder took it, counted from 1970; clocks may jump, so it only
-        orders what waits.
+        Unix time at which a holder accepted the job, in milliseconds. Clocks may jump, so this
+        time is used only to order waiting jobs.
     tenant : str
-        For whom it runs; empty where there are no tenants.
+        The tenant that owns the job; empty if no tenants are configured.
     is_over_share : bool
-        Its tenant had handed in more than its weight; what others are owed goes first.
+        Whether the tenant had submitted more than its fair share; work that other tenants are
+        entitled to goes first.
     """
 
     job_id: JobId
--- a/src/onyxspoke/core/jobs/policy.py
+++ b/src/onyxspoke/core/jobs/policy.py
@@ -1,4 +1,4 @@
-"""Queues and services in force, as a shard's holder needs them."""
+"""The configuration of queues, services and tenants that a shard's holder uses."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ServicePolicy(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A service: a pool of workers.
+    """The policy of a service, which is a pool of workers.
 
     Attributes
     ----------
     checks_room : bool
-        Its workers reject what does not fit.
+        Whether its workers reject tasks that exceed their free capacity.
     is_spare : bool
-        Its machines are off and run nothing.
+        Whether its machines are powered off and run no tasks.
     """
 
     name: str
@@ -25,7 +25,7 @@
 
 
 class PolicySet(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of the operator's configuration, without what only the ingress needs."""
+    """One version of the operator's configuration, without the settings of the ingress."""
 
     version: int = 0
     queues: dict[str, QueuePolicy] = {}
@@ -33,10 +33,10 @@
     tenants: dict[TenantName, TenantPolicy] = {}
 
     def queue_of(self, job: JobSpec) -> QueuePolicy:
-        """Return a job's queue as it is now; one that was dropped, as the job met it."""
+        """Return the current policy of a job's queue, or the job's copy if the queue is removed."""
         return self.queues.get(job.queue.name, job.queue)
 
     def first_priority(self, service: str) -> int | None:
-        """Return the priority of the queue that goes first at a service, if it has any."""
-        of_service = (queue for queue in self.queues.values() if queue.service == service)
-        return min((queue.priority for queue in of_service), default=None)
+        """Return the highest priority among a service's queues; ``None`` if it has no queue."""
+        service_queues = (queue for queue in self.queues.values() if queue.service == service)
+        return min((queue.priority for queue in service_queues), default=None)
--- a/src/onyxspoke/core/jobs/progress.py
+++ b/src/onyxspoke/core/jobs/progress.py
@@ -1,4 +1,4 @@
-"""How far jobs, steps and tasks are; no decision, only what follows from what happened."""
+"""Progress of jobs, steps and tasks; this module keeps state and makes no scheduling decisions."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 
 class TaskProgress:
-    """One task.
+    """The progress of one task.
 
     Attributes
     ----------
     failed_runs : list of int
-        Numbers of the runs that ended ``failed``; an end that is told twice counts once.
+        Numbers of the failed runs; a failure that is reported twice counts once.
     crashes : CrashTally
-        Workers that went down under its runs; nobody reports those.
+        Counts of worker crashes during its runs; workers cannot report these.
     checkpoint : str
-        Opaque text from which work may resume; empty for none.
+        Opaque text that the next run may resume from; empty if there is none.
     run : Run or None
-        The run that stands for the task now.
+        The current run of the task.
     failed_on : WorkerId
-        Worker of the latest failure, to try another one next.
+        Worker of the latest failure, so that the next attempt prefers another worker.
     placed_on : WorkerId
-        The worker that may have a run of it, by this holder's or a former one's record; empty
-        where none can.
+        The worker that may have a run of the task, as this holder or a previous one recorded;
+        empty if no worker can have one.
     """
 
     __slots__ = (
@@ -66,56 +66,58 @@
 
     @property
     def key(self) -> TaskKey:
-        """The task's name."""
+        """The key of the task."""
         return TaskKey(*self.step.key, self.index)
 
     def move_to(self, state: TaskState) -> None:
-        """Change the state and keep the step's counts true."""
+        """Change the state and update the counts of the step."""
         if state is self.state:
             return
         check_task_transition(self.state, state)
-        self.step.count_move(self, self.state, state)
+        self.step.update_counts(self, self.state, state)
         self.state = state
 
 
 class StepProgress:
-    """One step of one repetition.
+    """The progress of one step of one repetition.
 
     Attributes
     ----------
     needs : Needs
-        What one task reserves of a worker's room.
+        The resources that one task reserves on its worker.
     waiting : dict of int to None
-        Indexes of tasks that may be started, in order.
-    blocked_by : int
-        Earlier steps that are not done yet.
+        Indexes of the waiting tasks, in order.
+    unfinished_dependencies : int
+        Number of steps that this step depends on and that are not done yet.
     ready_at : float
-        When the last of them ended, in the reader's seconds.
+        When the last dependency was done or a task returned from in doubt to waiting, in
+        seconds of the local clock.
     failed_gang_runs : list of int
-        Numbers of the runs of the whole gang in which a member failed.
+        Numbers of the gang runs in which a member failed.
     last_number : int
-        Highest run number that is known of any task of the step.
+        Highest known run number of any task of the step.
     due_at : float
-        When the job was accepted, or the repetition fell due, in the reader's seconds.
+        When the job was accepted, or the repetition started, in seconds of the local clock.
     chain_seconds : float
-        Estimated work from this step to the end of the job, along the longest chain.
+        Estimated duration of the longest path of dependent steps from this step to the job's end.
     over_quota_since : float or None
-        Since when nothing of it may start because its tenant's quota is used up.
+        Since when the tenant's exhausted quota has kept tasks from starting; ``None`` if it does
+        not.
     over_quota_seconds : float
-        For how long that was so before.
+        Total duration of the earlier periods in which the quota kept tasks from starting.
     crashed_at : float
-        When a worker last went down just after only tasks of this job had begun there; 0 for never.
+        When a worker last crashed shortly after only tasks of this job had started on it; 0 if
+        none has.
     done_before_crash : int
-        How many tasks had ended well by then.
+        How many tasks were done at the time of that crash.
     evidence : StepEvidence or None
-        How its tasks have compared with their estimate.
+        Measured durations of its tasks compared with their estimates.
     begins_apart_until : float
-        While it is on trial, nothing more of it begins before this second.
+        Earliest time at which the next tasks may start while the step is on trial after a crash.
     """
 
     __slots__ = (
         "begins_apart_until",
-        "blocked_by",
         "chain_seconds",
         "crashed_at",
         "done_before_crash",
@@ -133,6 +135,7 @@
         "ready_at",
         "spec",
         "tasks",
+        "unfinished_dependencies",
         "waiting",
     )
 
@@ -144,13 +147,13 @@
         self.chain_seconds = chain_seconds
         self.key = key
         self.spec = spec
-        #: As ``spec.needs``, which is worked out at each use, and placement uses it all the time.
+        #: A cached copy of ``spec.needs``, which is computed at each use; placement reads it often.
         self.needs = spec.needs
         self.tasks = [TaskProgress(self, index) for index in range(spec.task_count)]
         self.waiting: dict[int, None] = dict.fromkeys(range(spec.task_count))
         self.in_doubt = 0
         self.done_count = 0
-        self.blocked_by = len(spec.depends_on)
+        self.unfinished_dependencies = len(spec.depends_on)
         self.ready_at = now
         self.failed_gang_runs: list[int] = []
         self.last_number = 0
@@ -163,16 +166,16 @@
 
     @property
     def expected_seconds(self) -> float:
-        """How long one task is expected to take on a usual worker."""
+        """Expected duration of one task on a worker of average speed."""
         return self.spec.estimated_ms / _MILLISECONDS * self.job.work.factor
 
     @property
     def expected_chain_seconds(self) -> float:
-        """How long the work to the end of the job is expected to take, along the longest chain."""
+        """Expected duration of the longest path of dependent steps to the job's end."""
         return self.chain_seconds * self.job.work.factor
 
     def note_quota(self, is_over: bool, now: float) -> bool:
-        """Take note whether its tenant's quota holds the step back; return whether that is new."""
+        """Record whether the tenant's quota blocks the step; return whether a block has begun."""
         if is_over:
             is_new = self.over_quota_since is None
             if is_new:
@@ -185,26 +188,28 @@
 
     @property
     def most_on_a_worker(self) -> int:
-        """How many of its tasks one worker may have at most, however much room there is."""
+        """Maximum number of tasks of the step on one worker, regardless of free capacity."""
         return min(self.spec.spread_limit or len(self.tasks), len(self.tasks))
 
     @property
     def is_done(self) -> bool:
-        """Whether every task has ended well."""
+        """Whether every task of the step is done."""
         return self.done_count == len(self.tasks)
 
     @property
     def is_startable(self) -> bool:
-        """Whether the start of some task may be planned now.
+        """Whether the start of at least one task may be planned now.
 
-        A start is ordered only once the store has it, and with it the job.  That it is planned
-        before lets advice be asked for, and the start's record be sent, while the job's own record
-        is under way: at a slow store each append that is waited for costs 0.2 s and more.
+        A start is ordered only after the store has committed the job and the start.  Planning does
+        not wait for the job's commit, so that the advice call and the append of the start overlap
+        with the append of the job: each append to a slow store takes 0.2 s or more.
         """
-        return bool(self.waiting) and self.blocked_by == 0 and not self.job.state.is_final
+        return (
+            bool(self.waiting) and self.unfinished_dependencies == 0 and not self.job.state.is_final
+        )
 
-    def count_move(self, task: TaskProgress, old: TaskState, new: TaskState) -> None:
-        """Keep the counts when a task changes its state."""
+    def update_counts(self, task: TaskProgress, old: TaskState, new: TaskState) -> None:
+        """Update the counts of the step after a task changed its state."""
         if old is TaskState.WAITING:
             self.waiting.pop(task.index, None)
         elif old is TaskState.IN_DOUBT:
@@ -218,22 +223,22 @@
 
 
 class JobProgress:
-    """One job.
+    """The progress of one job.
 
     Attributes
     ----------
     committed_state : JobState or None
-        What the store holds, and so what may be shown; ``None`` before the first commit.
+        State of the job in the store, which callers may see; ``None`` before the first commit.
     repetitions : dict of int to list of StepProgress
-        Steps by repetition; of a job with times, only those that are due and not done.
+        Steps by repetition; for a scheduled job, only repetitions that are due and not done.
     begun : bool
-        Whether a worker ever had a run of any task, as far as is known here.
+        Whether a worker is known to have had a run of any task.
     accepted_at : float
-        The reader's seconds of the acceptance.
+        When the job was accepted, in seconds of the local clock.
     objective_seconds : float
-        Within how long the job should be done, by its own estimates.
+        Target duration of the job according to the estimates in its specification.
     work : WorkModel
-        By what such estimates are off.
+        Learned ratio of actual to estimated durations for this kind of job.
     """
 
     __slots__ = (
@@ -247,8 +252,8 @@
         "spec",
         "spec_is_stored",
         "state",
-        "stretched_seconds",
         "work",
+        "work_dependent_seconds",
     )
 
     def __init__(self, spec: JobSpec, now: float, work: WorkModel = UNLEARNED_WORK) -> None:
@@ -261,30 +266,30 @@
         self.begun = False
         self.accepted_at = now
         self.objective_seconds = _objective_seconds(spec)
-        #: The part of the objective that grows with the work.
-        self.stretched_seconds = self.objective_seconds - _target_seconds(spec)
+        #: The part of the objective that is proportional to the estimated work.
+        self.work_dependent_seconds = self.objective_seconds - _target_seconds(spec)
         self.final_at = 0.0
         self.spec_is_stored = False
 
     @property
     def job_id(self) -> JobId:
-        """The job's name."""
+        """The identifier of the job."""
         return self.spec.job_id
 
     @property
     def expected_objective_seconds(self) -> float:
-        """Within how long it should be done by what its work is expected to take."""
-        return self.objective_seconds + (self.work.factor - 1.0) * self.stretched_seconds
+        """Target duration of the job according to the learned durations, in seconds."""
+        return self.objective_seconds + (self.work.factor - 1.0) * self.work_dependent_seconds
 
     def begin_repetition(self, repetition: int, now: float) -> list[StepProgress]:
-        """Lay out the steps of a repetition that is due."""
-        chains = chains_ms(self.spec)
+        """Create the steps of a repetition that is due."""
+        paths_ms = remaining_paths_ms(self.spec)
         steps = [
             StepProgress(
                 self,
                 StepKey(self.job_id, repetition, number),
                 step,
-                chains[number] / _MILLISECONDS,
+                paths_ms[number] / _MILLISECONDS,
                 now,
             )
             for number, step in enumerate(self.spec.steps)
@@ -293,25 +298,25 @@
         return steps
 
     def steps(self) -> list[StepProgress]:
-        """Return the steps of every repetition that is under way."""
+        """Return the steps of all active repetitions."""
         return [step for steps in self.repetitions.values() for step in steps]
 
     def find_step(self, key: StepKey) -> StepProgress | None:
-        """Return a step by its name."""
+        """Return a step by its key; ``None`` if it does not exist."""
         steps = self.repetitions.get(key.repetition)
         if steps is None or key.step >= len(steps):
             return None
         return steps[key.step]
 
     def find_task(self, key: TaskKey) -> TaskProgress | None:
-        """Return a task by its name."""
+        """Return a task by its key; ``None`` if it does not exist."""
         step = self.find_step(key.step_key)
         if step is None or key.task_index >= len(step.tasks):
             return None
         return step.tasks[key.task_index]
 
     def move_to(self, state: JobState, now: float) -> None:
-        """Change the state; a final one stays."""
+        """Change the state; raise :class:`IllegalTransitionError` if that is not allowed."""
         if state is self.state:
             return
         check_job_transition(self.state, state)
@@ -319,8 +324,8 @@
         if state.is_final:
             self.final_at = now
 
-    def shrink(self) -> None:
-        """Drop what a job that is over needs no more; runs that still stop keep their own."""
+    def discard_details(self) -> None:
+        """Discard the steps and payload of a final job; runs being stopped keep their own steps."""
         self.repetitions = {}
         spec = self.spec
         self.spec = JobSpec(
@@ -329,31 +334,31 @@
 
 
 def _objective_seconds(spec: JobSpec) -> float:
-    chain = max(chains_ms(spec), default=0.0)
-    return (spec.queue.stretch * chain + spec.queue.target_latency_ms) / _MILLISECONDS
+    longest_path_ms = max(remaining_paths_ms(spec), default=0.0)
+    return (spec.queue.stretch * longest_path_ms + spec.queue.target_latency_ms) / _MILLISECONDS
 
 
 def _target_seconds(spec: JobSpec) -> float:
     return spec.queue.target_latency_ms / _MILLISECONDS
 
 
-def chains_ms(spec: JobSpec) -> list[float]:
-    """Return the estimated work from each step to the job's end, along the longest chain."""
+def remaining_paths_ms(spec: JobSpec) -> list[float]:
+    """Return for each step the estimated duration of its longest path to the job's end."""
     after = [0.0] * len(spec.steps)
-    chains = [0.0] * len(spec.steps)
+    paths_ms = [0.0] * len(spec.steps)
     for number in range(len(spec.steps) - 1, -1, -1):
         step = spec.steps[number]
-        chains[number] = step.estimated_ms + after[number]
+        paths_ms[number] = step.estimated_ms + after[number]
         for earlier in step.depends_on:
-            after[earlier] = max(after[earlier], chains[number])
-    return chains
+            after[earlier] = max(after[earlier], paths_ms[number])
+    return paths_ms
 
 
 def checkpoint_of(task: TaskProgress) -> str:
-    """Return from where a start resumes; empty for the beginning."""
+    """Return the checkpoint that a start resumes from; empty for a start from the beginning."""
     return checkpoint_holder(task).checkpoint if task.step.spec.checkpointing else ""
 
 
 def checkpoint_holder(task: TaskProgress) -> TaskProgress:
-    """Return the task that keeps the checkpoint; of a gang, the first one for all."""
+    """Return the task that stores the checkpoint; the first task stores it for a whole gang."""
     return task.step.tasks[0] if task.step.spec.gang else task
--- a/src/onyxspoke/core/jobs/records.py
+++ b/src/onyxspoke/core/jobs/records.py
@@ -1,7 +1,7 @@
-"""What of a job outlives its holder, and how it is encoded.
+"""The records of a job in the store, and their encoding.
 
-A job has a record of its specification, written once, and one of its progress, written
-again whenever something that must not be forgotten happens.  Both are msgpack arrays.
+The specification record of a job is written once. The progress record is rewritten whenever
+progress that must survive a change of holder is made.  Both are msgpack arrays.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class StepRecord(msgspec.Struct, array_like=True):
-    """What is kept of one step: which tasks are done, failed runs and checkpoints by index.
+    """The recorded progress of one step: done tasks, and failed runs and checkpoints by task index.
 
-    ``placed`` tells by worker which tasks it may have a run of: it stands here before the worker is
-    ordered to start any, so that a new holder knows which tasks a silent worker may run.
-    ``crashes`` counts by index the workers that went down under a task.  A crash is counted in the
-    record that clears the task's place, so that a new holder counts each one once.
+    ``placed`` maps each worker to a bitmap of the tasks that the worker may have a run of. A task
+    is recorded here before its start is ordered, so that a new holder knows which tasks an
+    unresponsive worker may run.  ``crashes`` maps task indexes to crash tallies.  The record that
+    adds a crash also removes the task's placement, so that a new holder counts each crash once.
     """
 
     repetition: int
@@ -40,10 +40,10 @@
 
 
 class ProgressRecord(msgspec.Struct, array_like=True):
-    """What is kept of a job's progress.
+    """The recorded progress of a job.
 
-    ``was_submitted`` is false for a cancel that came before its job.  ``tenant`` is empty in
-    records written where there were no tenants.
+    ``was_submitted`` is false if the job was cancelled before it was submitted.  ``tenant`` is
+    empty if no tenants were configured when the record was written.
     """
 
     state: int
@@ -54,14 +54,14 @@
 
 
 class JobRecordKind(Enum):
-    """Which record of a job a key names."""
+    """The kind of job record that a key refers to."""
 
     SPEC = SPEC_PREFIX
     PROGRESS = PROGRESS_PREFIX
 
 
 class RecordFormatError(Exception):
-    """A record that this version cannot read; the key is in the message."""
+    """A record cannot be decoded by this version; the message contains the record's key."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -70,22 +70,22 @@
 
 
 def spec_key(job_id: JobId) -> str:
-    """Return the key of a job's specification."""
+    """Return the key of a job's specification record."""
     return SPEC_PREFIX + job_id
 
 
 def progress_key(job_id: JobId) -> str:
-    """Return the key of a job's progress."""
+    """Return the key of a job's progress record."""
     return PROGRESS_PREFIX + job_id
 
 
 def encode_spec(spec: JobSpec) -> bytes:
-    """Return the record of a specification."""
+    """Return the encoded specification record."""
     return _encoder.encode(spec)
 
 
 def decode_spec(key: str, data: bytes) -> JobSpec:
-    """Return the specification in a record; raise :class:`RecordFormatError`."""
+    """Return the specification in a record, or raise :class:`RecordFormatError`."""
     try:
         return _spec_decoder.decode(data)
     except msgspec.MsgspecError as error:
@@ -93,7 +93,7 @@
 
 
 def encode_progress(job: JobProgress) -> bytes:
-    """Return the record of a job's progress as it is now."""
+    """Return the encoded record of a job's current progress."""
     steps = []
     if not job.state.is_final:
         steps = [_step_record(step) for step in job.steps() if _has_progress(step)]
@@ -103,7 +103,7 @@
 
 
 def decode_progress(key: str, data: bytes) -> ProgressRecord:
-    """Return the progress in a record; raise :class:`RecordFormatError`."""
+    """Return the progress in a record, or raise :class:`RecordFormatError`."""
     try:
         return _progress_decoder.decode(data)
     except msgspec.MsgspecError as error:
@@ -111,9 +111,10 @@
 
 
 def restore_progress(job: JobProgress, record: ProgressRecord, now: float) -> None:
-    """Bring a job to where its record says that it was.
+    """Set a job's progress to the recorded progress.
 
-    Tasks that are not done are in doubt: the former holder may have started them.
+    Unfinished tasks stay ``WAITING``; the job registry marks as in doubt those that a previous
+    holder may have started.
     """
     job.done_repetitions = set(record.done_repetitions)
     state = JobState(record.state)
@@ -123,32 +124,32 @@
         job.move_to(state, now)
     if state.is_final:
         return
-    for kept in record.steps:
-        if kept.repetition not in job.repetitions:
-            job.begin_repetition(kept.repetition, now)
-        step = job.find_step(StepKey(job.job_id, kept.repetition, kept.step))
+    for stored in record.steps:
+        if stored.repetition not in job.repetitions:
+            job.begin_repetition(stored.repetition, now)
+        step = job.find_step(StepKey(job.job_id, stored.repetition, stored.step))
         if step is not None:
-            _restore_step(step, kept)
+            _restore_step(step, stored)
 
 
-def _restore_step(step: StepProgress, kept: StepRecord) -> None:
-    step.failed_gang_runs = list(kept.failed_gang_runs)
-    for index in _read_bitmap(kept.done, len(step.tasks)):
+def _restore_step(step: StepProgress, stored: StepRecord) -> None:
+    step.failed_gang_runs = list(stored.failed_gang_runs)
+    for index in _read_bitmap(stored.done, len(step.tasks)):
         step.tasks[index].move_to(TaskState.DONE)
-    for index, numbers in kept.failed_runs.items():
+    for index, numbers in stored.failed_runs.items():
         step.tasks[index].failed_runs = list(numbers)
-    for index, checkpoint in kept.checkpoints.items():
+    for index, checkpoint in stored.checkpoints.items():
         step.tasks[index].checkpoint = checkpoint
-    for index, tally in kept.crashes.items():
+    for index, tally in stored.crashes.items():
         step.tasks[index].crashes = tally
-    for worker_id, tasks in kept.placed.items():
+    for worker_id, tasks in stored.placed.items():
         for index in _read_bitmap(tasks, len(step.tasks)):
             if step.tasks[index].state is not TaskState.DONE:
                 step.tasks[index].placed_on = worker_id
 
 
 def has_progress(job: JobProgress) -> bool:
-    """Return whether there is anything to keep of a job beside its specification."""
+    """Return whether a job has progress that must be recorded besides its specification."""
     if job.state is not JobState.QUEUED or job.committed_state is not None:
         return True
     return any(_has_progress(step) for step in job.steps())
@@ -164,22 +165,22 @@
 
 
 def _step_record(step: StepProgress) -> StepRecord:
-    open_tasks = [task for task in step.tasks if task.state is not TaskState.DONE]
+    unfinished_tasks = [task for task in step.tasks if task.state is not TaskState.DONE]
     return StepRecord(
         repetition=step.key.repetition,
         step=step.key.step,
         done=_make_bitmap(step, [t.index for t in step.tasks if t.state is TaskState.DONE]),
-        failed_runs={task.index: task.failed_runs for task in open_tasks if task.failed_runs},
-        checkpoints={task.index: task.checkpoint for task in open_tasks if task.checkpoint},
+        failed_runs={task.index: task.failed_runs for task in unfinished_tasks if task.failed_runs},
+        checkpoints={task.index: task.checkpoint for task in unfinished_tasks if task.checkpoint},
         failed_gang_runs=step.failed_gang_runs,
-        placed=_placements(step, open_tasks),
-        crashes={task.index: task.crashes for task in open_tasks if task.crashes.total},
+        placed=_placements(step, unfinished_tasks),
+        crashes={task.index: task.crashes for task in unfinished_tasks if task.crashes.total},
     )
 
 
-def _placements(step: StepProgress, open_tasks: list[TaskProgress]) -> dict[WorkerId, bytes]:
+def _placements(step: StepProgress, unfinished_tasks: list[TaskProgress]) -> dict[WorkerId, bytes]:
     by_worker: dict[WorkerId, list[int]] = {}
-    for task in open_tasks:
+    for task in unfinished_tasks:
         if task.placed_on:
             by_worker.setdefault(task.placed_on, []).append(task.index)
     return {worker_id: _make_bitmap(step, tasks) for worker_id, tasks in by_worker.items()}
@@ -198,6 +199,6 @@
 
 
 def encode_cancelled_before(tenant: TenantName) -> bytes:
-    """Return the record of a tenant's cancel that came before its job."""
+    """Return the encoded record of a job that its tenant cancelled before submitting it."""
     state = int(JobState.CANCELLED)
     return _encoder.encode(ProgressRecord(state, [], [], was_submitted=False, tenant=tenant))
--- a/src/onyxspoke/core/jobs/states.py
+++ b/src/onyxspoke/core/jobs/states.py
@@ -1,4 +1,4 @@
-"""States of jobs, tasks and runs, and which may follow which."""
+"""States of jobs, tasks and runs, and the allowed transitions between them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class JobState(IntEnum):
-    """How far a job is; the numbers stand in records."""
+    """The state of a job; records contain the numeric value."""
 
     QUEUED = 0
     RUNNING = 1
@@ -16,12 +16,12 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing more will happen to the job."""
+        """Whether the job has ended and can no longer change its state."""
         return self >= JobState.COMPLETED
 
 
 class TaskState(IntEnum):
-    """How far a task is."""
+    """The state of a task."""
 
     WAITING = 0
     ACTIVE = 1
@@ -30,11 +30,11 @@
 
 
 class RunState(IntEnum):
-    """How far a run is.
+    """The state of a run.
 
-    ``PLANNED``: room is held, and nothing was ordered yet.  ``STARTING``: the order was sent.
-    ``UNCERTAIN``: it was not answered.  ``RUNNING``: the worker has it.  ``STOPPING``: a stop was
-    sent.  ``ENDED``: its room is free.
+    ``PLANNED``: capacity is reserved, and no start order was sent yet.  ``STARTING``: the start
+    order was sent.  ``UNCERTAIN``: the start order was not answered.  ``RUNNING``: the worker has
+    the run.  ``STOPPING``: a stop order was sent.  ``ENDED``: the reserved capacity is free again.
     """
 
     PLANNED = 0
@@ -46,7 +46,7 @@
 
 
 class RunEnd(Enum):
-    """How a run ended, by its worker's word or by what is certain without it."""
+    """How a run ended, as its worker reported or as the holder concluded."""
 
     DONE = "done"
     FAILED = "failed"
@@ -74,7 +74,7 @@
 }
 
 RUN_TRANSITIONS: dict[RunState, frozenset[RunState]] = {
-    # One that is found on a worker was ordered by a former holder.
+    # A run that is found on a worker, having been ordered by a previous holder, skips STARTING.
     RunState.PLANNED: frozenset({RunState.STARTING, RunState.RUNNING, RunState.ENDED}),
     RunState.STARTING: frozenset(RunState) - {RunState.PLANNED, RunState.STARTING},
     RunState.UNCERTAIN: frozenset({RunState.RUNNING, RunState.STOPPING, RunState.ENDED}),
@@ -85,7 +85,7 @@
 
 
 class IllegalTransitionError(Exception):
-    """A state was to follow one that it must not follow: a fault in onyxspoke itself."""
+    """A state transition is not allowed; this is an internal error of onyxspoke."""
 
 
 def check_job_transition(old: JobState, new: JobState) -> None:
--- a/src/onyxspoke/core/jobs/validation.py
+++ b/src/onyxspoke/core/jobs/validation.py
@@ -1,4 +1,4 @@
-"""Checks of jobs that callers hand in; each fault is named."""
+"""Validation of submitted jobs; the error message names the invalid field."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 MAXIMUM_STEPS = 100
 MAXIMUM_TASKS = 10_000
 MAXIMUM_REPETITIONS = 100_000
-#: Longer times, in milliseconds, are refused: floats and records hold sums of shorter ones.
+#: Longest accepted duration, in milliseconds; floats and records can hold sums of such durations.
 MAXIMUM_TIME_MS = 2**53
 JOB_ID_LENGTH = 16
 _HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 
 
 def check_job(job: JobSpec) -> None:
-    """Raise :class:`RequestRefusedError` with ``MALFORMED_REQUEST`` for a job with a fault."""
+    """Raise :class:`RequestRefusedError` with ``MALFORMED_REQUEST`` for an invalid job."""
     if len(job.job_id) != JOB_ID_LENGTH or not _HEX_DIGITS.issuperset(job.job_id):
-        _refuse(f"identifier: expected {JOB_ID_LENGTH} hexadecimal digits")
+        _reject(f"identifier: expected {JOB_ID_LENGTH} hexadecimal digits")
     if len(job.payload.encode()) > MAXIMUM_PAYLOAD_BYTES:
-        _refuse(f"payload: at most {MAXIMUM_PAYLOAD_BYTES} bytes")
+        _reject(f"payload: at most {MAXIMUM_PAYLOAD_BYTES} bytes")
     if not 1 <= len(job.steps) <= MAXIMUM_STEPS:
-        _refuse(f"steps: 1 to {MAXIMUM_STEPS} are allowed")
+        _reject(f"steps: 1 to {MAXIMUM_STEPS} are allowed")
     if sum(max(step.task_count, 0) for step in job.steps) > MAXIMUM_TASKS:
-        _refuse(f"steps: at most {MAXIMUM_TASKS} tasks in all")
+        _reject(f"steps: at most {MAXIMUM_TASKS} tasks in all")
     _check_schedule(job)
     for number, step in enumerate(job.steps):
         _check_step(number, step)
@@ -33,14 +33,14 @@
 def _check_schedule(job: JobSpec) -> None:
     schedule = job.schedule
     if not 0 <= schedule.count <= MAXIMUM_REPETITIONS:
-        _refuse(f"schedule: 0 to {MAXIMUM_REPETITIONS} repetitions are allowed")
+        _reject(f"schedule: 0 to {MAXIMUM_REPETITIONS} repetitions are allowed")
     if schedule.start_at_ms < 0 or schedule.interval_ms < 0:
-        _refuse("schedule: times must not be negative")
+        _reject("schedule: times must not be negative")
 
 
 def _check_step(number: int, step: StepSpec) -> None:
     if step.task_count < 1:
-        _refuse(f"step {number}: needs at least one task")
+        _reject(f"step {number}: needs at least one task")
     amounts = (
         step.processors_milli,
         step.memory_mb,
@@ -50,14 +50,14 @@
         step.target_ms,
     )
     if min(amounts) < 0:
-        _refuse(f"step {number}: amounts must not be negative")
+        _reject(f"step {number}: amounts must not be negative")
     if max(step.estimated_ms, step.target_ms) > MAXIMUM_TIME_MS:
-        _refuse(f"step {number}: times of at most {MAXIMUM_TIME_MS} ms are allowed")
+        _reject(f"step {number}: times of at most {MAXIMUM_TIME_MS} ms are allowed")
     if any(not 0 <= earlier < number for earlier in step.depends_on):
-        _refuse(f"step {number}: may depend on earlier steps only")
+        _reject(f"step {number}: may depend on earlier steps only")
     if len(set(step.depends_on)) != len(step.depends_on):
-        _refuse(f"step {number}: names a dependency twice")
+        _reject(f"step {number}: names a dependency twice")
 
 
-def _refuse(message: str) -> None:
+def _reject(message: str) -> None:
     raise RequestRefusedError(ResultCode.MALFORMED_REQUEST, message)
