--- a/features/differential_jobs.feature
+++ b/features/differential_jobs.feature
@@ -1,13 +1,13 @@
-Feature: Jobs end as a naive single copy of the engine says that they do
+Feature: Jobs end in the states that a naive model of the scheduler predicts
 
-  Scenario: Random jobs, cancels and repeats on a calm cluster
-    When 25 random sets of jobs are played on a cluster and on the naive version
-    Then both agree on how every job ended and how often its tasks ended well
+  Scenario: Random jobs and cancels on a cluster without faults
+    When 25 random sets of jobs are run on a cluster and on the naive model
+    Then both agree on the final state of every job and its number of completed tasks
 
-  Scenario: Random sequences of what workers report leave the room of workers exact
-    When 60 random sequences of starts, ends and stops are given to the table of workers
-    Then the room always equals the capacity less what holds it
+  Scenario: Random sequences of starts and ends keep the free capacity of workers exact
+    When 60 random sequences of starts, ends and stops are applied to a worker
+    Then the free capacity always equals the capacity minus the needs of active runs
 
-  Scenario: Records bring a job back to where it was
-    When 80 random jobs are advanced, written as records and read back
-    Then what must outlive the holder is the same
+  Scenario: Records restore the progress of a job
+    When 80 random jobs make progress, are written as records and are read back
+    Then the recorded progress is the same
--- a/features/job_promises.feature
+++ b/features/job_promises.feature
@@ -1,55 +1,55 @@
-Feature: What must always hold of jobs, under faults, in virtual time
+Feature: Job invariants under faults, in virtual time
 
-  Several nodes over stand-ins for the store, the workers and the advice service. Everything
-  that callers and workers see is checked: room, runs, order, attempts, gangs, cancels, what
-  callers are told, and that every accepted job comes to its end.
+  Several nodes run with simulated stores, workers and advice services. The checks cover what
+  callers and workers observe: capacity, runs, order, attempts, gangs, cancels, replies to
+  callers, and that every accepted job reaches a final state.
 
-  Scenario: A calm run breaks nothing and finishes every job
+  Scenario: A run without faults violates no invariant and completes its jobs
     When jobs are played over seeds 1 to 4 without faults
     Then nothing that must hold is broken
     And at least 150 jobs were completed
 
-  Scenario: Schedules of one to four faults break nothing
+  Scenario: Schedules of one to four faults violate no invariant
     When jobs are played over seeds 100 to 160 with drawn faults
     Then nothing that must hold is broken
 
-  Scenario Outline: A schedule that once broke something holds: <seed>
+  Scenario Outline: A schedule that once violated an invariant passes: <seed>
     When jobs are played over seeds <seed> to <seed> with drawn faults
     Then nothing that must hold is broken
 
-    Examples: a holder that was cut off said "no such job" of jobs accepted elsewhere
+    Examples: a holder that was cut off replied "no such job" for jobs accepted by another holder
       | seed |
       | 1    |
       | 11   |
       | 71   |
       | 94   |
 
-    Examples: a caller who asked twice was told "accepted" of a job refused to the other
+    Examples: of two submissions of one job, one was accepted and the other was refused
       | seed |
       | 98   |
       | 199  |
       | 459  |
       | 543  |
 
-    Examples: a gang waited for ever: for workers it never asked about, or that nobody tried again
+    Examples: a gang waited forever for workers that were never queried, or never retried
       | seed |
       | 136  |
       | 1079 |
       | 1667 |
 
-    Examples: nodes that followed the former holder went on sending their calls to it
+    Examples: nodes that followed the previous holder kept sending calls to it
       | seed |
       | 4842 |
 
-    Examples: a cancel was forgotten with its job, which was refused, and ran when it came again
+    Examples: a refused job lost its cancel and ran when it was submitted again
       | seed |
       | 8038 |
 
   Scenario Outline: A start that arrives after its holder was replaced - <cluster>
     Given <cluster>
-    When the workers take orders 0.8 seconds late
-    And a job that takes all of its worker is accepted, and 0.1 seconds pass
-    And the workers take orders in time
+    When the workers handle orders 0.8 seconds late
+    And a job that needs a whole worker is accepted, and 0.1 seconds pass
+    And the workers handle orders without delay
     And the holder is killed
     And another node holds the shard
     And 5 seconds pass in that cell
@@ -60,39 +60,39 @@
       | a cluster with 2 worker(s)                                      | nothing    |
       | a cluster with 2 worker(s), without "fencing tokens at workers" | "two_runs" |
 
-  Scenario Outline: A worker that is cut off runs on - <cluster>
+  Scenario Outline: A worker that is cut off keeps running its tasks - <cluster>
     Given <cluster>
-    And a job that takes all of its worker is at work
-    When the holder is cut off from the worker that runs it
+    And a job that needs a whole worker is running
+    When the holder is cut off from the worker that runs the job
     And 3 seconds pass in that cell
     Then the cluster has broken <what>
 
     Examples:
-      | cluster                                                 | what       |
-      | a cluster with 2 worker(s)                              | nothing    |
-      | a cluster with 2 worker(s), without "the end of leases" | "two_runs" |
+      | cluster                                            | what       |
+      | a cluster with 2 worker(s)                         | nothing    |
+      | a cluster with 2 worker(s), without "lease expiry" | "two_runs" |
 
   Scenario Outline: A holder is lost before a job's record is in the store - <cluster>
     Given <cluster>
     And its tasks take 0.4 seconds
-    When the store falls silent
-    And the first job is handed in, and 1.5 seconds pass
+    When the store stops answering calls
+    And the first job is submitted, and 1.5 seconds pass
     And the holder is killed
     And the store answers again in that cell
     And another node holds the shard
-    And the first job is handed in, and 2 seconds pass
+    And the first job is submitted, and 2 seconds pass
     Then the cluster has broken <what>
 
     Examples:
-      | cluster                                                            | what             |
-      | a cluster with 2 worker(s)                                         | nothing          |
-      | a cluster with 2 worker(s), without "starts only after the commit" | "run_after_done" |
+      | cluster                                                                  | what             |
+      | a cluster with 2 worker(s)                                               | nothing          |
+      | a cluster with 2 worker(s), without "start orders only after the commit" | "run_after_done" |
 
-  Scenario Outline: A holder is lost before an end is in the store - <cluster>
+  Scenario Outline: A holder is lost before the end of a run is in the store - <cluster>
     Given <cluster>
     And its tasks take 2 seconds
-    And a job that takes all of its worker is at work
-    When the store falls silent
+    And a job that needs a whole worker is running
+    When the store stops answering calls
     And 2.5 seconds pass in that cell
     And the holder is killed
     And the store answers again in that cell
@@ -101,94 +101,94 @@
     Then the cluster has broken <what>
 
     Examples:
-      | cluster                                                                | what             |
-      | a cluster with 2 worker(s)                                             | nothing          |
-      | a cluster with 2 worker(s), without "ends noted only after the commit" | "run_after_done" |
+      | cluster                                                                        | what             |
+      | a cluster with 2 worker(s)                                                     | nothing          |
+      | a cluster with 2 worker(s), without "acknowledging ends only after the commit" | "run_after_done" |
 
-  Scenario Outline: A former holder wakes up and is asked for its successor's job - <cluster>
+  Scenario Outline: A paused holder resumes and is asked for its successor's job - <cluster>
     Given <cluster>
     When the holder is paused
     And another node holds the shard
-    And a job that takes all of its worker is accepted
-    And the former holder wakes up and is asked for the job
+    And a job that needs a whole worker is accepted
+    And the previous holder resumes and is asked for the job
     Then the cluster has broken <what>
 
     Examples:
-      | cluster                                                         | what               |
-      | a cluster with 2 worker(s)                                      | nothing            |
-      | a cluster with 2 worker(s), without "proof before unknown jobs" | "accepted_unknown" |
+      | cluster                                                                      | what               |
+      | a cluster with 2 worker(s)                                                   | nothing            |
+      | a cluster with 2 worker(s), without "proof of ownership before unknown jobs" | "accepted_unknown" |
 
   Scenario Outline: A cancelled run outlives its holder - <cluster>
     Given <cluster>
     And its workers take 0.6 seconds to stop a run
-    And a job that takes all of its worker is at work
+    And a job that needs a whole worker is running
     When the holder is cut off from the workers
     And the job is cancelled
     And the holder is killed
     And another node holds the shard
-    And another such job is handed in
+    And a second such job is submitted
     Then the cluster has broken <what>
-    And the other job runs in the end
+    And the second job eventually starts
 
     Examples:
-      | cluster                                                  | what            |
-      | a cluster with 1 worker(s)                               | nothing         |
-      | a cluster with 1 worker(s), without "room of stray runs" | "over_capacity" |
+      | cluster                                                       | what            |
+      | a cluster with 1 worker(s)                                    | nothing         |
+      | a cluster with 1 worker(s), without "capacity of orphan runs" | "over_capacity" |
 
   Scenario Outline: A holder is lost, and its successor does not reach the worker of a job - <cluster>
     Given <cluster>
-    And a job that takes all of its worker is at work
-    When the holder is killed, and its successor cannot reach the worker that runs it
+    And a job that needs a whole worker is running
+    When the holder is killed, and its successor cannot reach the worker that runs the job
     And 3 seconds pass in that cell
     Then the cluster has broken <what>
 
     Examples:
-      | cluster                                                   | what       |
-      | a cluster with 2 worker(s)                                | nothing    |
-      | a cluster with 2 worker(s), without "the record of starts" | "two_runs" |
+      | cluster                                                     | what       |
+      | a cluster with 2 worker(s)                                  | nothing    |
+      | a cluster with 2 worker(s), without "the records of starts" | "two_runs" |
 
-  Scenario Outline: What waited while a holder was lost begins, though one worker is not reached - <cluster>
+  Scenario Outline: Waiting jobs start after a change of holder, though one worker is unreachable - <cluster>
     Given <cluster>
-    And a job that takes all of its worker is at work
-    And the other workers take no orders
-    And another such job is handed in
-    When the holder is killed, and its successor cannot reach the worker that runs it
-    And the other workers take orders again
+    And a job that needs a whole worker is running
+    And the other workers receive no orders
+    And a second such job is submitted
+    When the holder is killed, and its successor cannot reach the worker that runs the job
+    And the other workers receive orders again
     And 1 seconds pass in that cell
-    Then the other job <has begun>
+    Then the second job <has started>
     And the cluster has broken nothing
 
-    Examples: with the record, and as after a holder of a version that kept none
-      | cluster                                                         | has begun     |
-      | a cluster with 2 worker(s)                                      | has begun     |
-      | a cluster with 2 worker(s), without "the mark of recorded starts" | has not begun |
+    Examples: with the marker, and as after a holder whose version recorded no starts
+      | cluster                                                             | has started     |
+      | a cluster with 2 worker(s)                                          | has started     |
+      | a cluster with 2 worker(s), without "the marker of recorded starts" | has not started |
 
-  Scenario Outline: An urgent job makes room for itself, and nothing is lost by it - <event>
+  Scenario Outline: An urgent job preempts another job, and both complete - <event>
     Given a cluster with 1 worker(s)
-    And a patient job with checkpoints takes all of its worker
-    When an urgent job that needs all of it is handed in, and <moment> seconds pass
+    And a checkpointing job of the patient queue uses a whole worker
+    When an urgent job that needs a whole worker is submitted, and <moment> seconds pass
     And <event>
     And 3 seconds pass in that cell
-    Then the other job has begun
-    And both jobs are done in the end
+    Then the second job has started
+    And both jobs eventually complete
     And the cluster has broken nothing
 
     Examples:
-      | moment | event                                                |
-      | 0.5    | nothing else happens                                 |
+      | moment | event                                                  |
+      | 0.5    | nothing else happens                                   |
       | 0.02   | the holder is killed, and another node holds the shard |
       | 0.06   | the holder is killed, and another node holds the shard |
       | 0.15   | the holder is killed, and another node holds the shard |
       | 0.6    | the holder is killed, and another node holds the shard |
 
-  Scenario Outline: A start that comes late to a worker where a run gives way breaks nothing
+  Scenario Outline: A late start order at a worker with a preempted run violates no invariant
     Given a cluster with 1 worker(s)
-    And a patient job with checkpoints takes all of its worker
-    When the workers take orders <late> seconds late
-    And an urgent job that needs all of it is handed in, and 3 seconds pass
-    And the workers take orders in time
+    And a checkpointing job of the patient queue uses a whole worker
+    When the workers handle orders <late> seconds late
+    And an urgent job that needs a whole worker is submitted, and 3 seconds pass
+    And the workers handle orders without delay
     And 3 seconds pass in that cell
-    Then both jobs are done in the end
+    Then both jobs eventually complete
     And the cluster has broken nothing
 
     Examples:
@@ -196,63 +196,63 @@
       | 0.3  |
       | 1.5  |
 
-  Scenario Outline: An entry of a worker that lapsed while the store was away - <state>
+  Scenario Outline: The entry of a live worker expired while the store was unreachable - <state>
     Given a cluster with 1 worker(s)
     And its tasks take 1 seconds
-    When the store falls silent
+    When the store stops answering calls
     And 3 seconds pass in that cell
-    And the store answers again, without the entries of workers that live
+    And the store answers again, without the entries of live workers
     And <seconds> seconds pass in that cell
-    And the first job is handed in, and 0.6 seconds pass
+    And the first job is submitted, and 0.6 seconds pass
     Then the first job has <state>
 
     Examples:
-      | seconds | state     |
-      | 0.5     | begun     |
-      | 3.5     | not begun |
+      | seconds | state       |
+      | 0.5     | started     |
+      | 3.5     | not started |
 
-  Scenario: A worker whose entry goes while the store is well gets nothing new, and ends what it has
+  Scenario: A worker whose entry is deleted finishes its runs and gets no new ones
     Given a cluster with 1 worker(s)
     And its tasks take 3 seconds
-    And a job that takes all of its worker is at work
-    When the entries of its workers go, though they serve on
-    And another such job is handed in
+    And a job that needs a whole worker is running
+    When the entries of its workers are deleted while the workers keep running
+    And a second such job is submitted
     And 4 seconds pass in that cell
-    Then the other job has not begun
-    And the first job is done
+    Then the second job has not started
+    And the first job is completed
     And the cluster has broken nothing
 
-  Scenario: A worker that left with nothing to do keeps no new holder waiting
+  Scenario: A new holder does not wait for a worker that left without runs
     Given a cluster with 2 worker(s)
     And its tasks take 6 seconds
-    When one of its workers leaves, and is gone after 1 second
+    When one of its idle workers is drained, and is gone after 1 second
     And 2 seconds pass in that cell
-    And a job that takes all of its worker is accepted
-    And another such job is handed in
+    And a job that needs a whole worker is accepted
+    And a second such job is submitted
     And the holder is killed
     And another node holds the shard
     And 2 seconds pass in that cell
-    Then the other job has begun
+    Then the second job has started
     And the cluster has broken nothing
 
-  Scenario: How long a job has waited outlives its holder
+  Scenario: The waiting time of a job survives a change of holder
     Given a cluster with 1 worker(s)
-    And a job that takes all of its worker is at work
-    And another such job is handed in
+    And a job that needs a whole worker is running
+    And a second such job is submitted
     When the holder is killed
     And another node holds the shard
-    Then the successor knows since when the other job waits
+    Then the successor knows since when the second job has waited
 
-  Scenario: A job of which no worker has taken an order is still one that waits
+  Scenario: A job still counts as waiting while no worker has accepted a start order
     Given a cluster with 1 worker(s)
     And its tasks take 2 seconds
     When the holder is cut off from the workers
-    And the first job is handed in, and 0.6 seconds pass
-    Then 1 job is said to wait in the queue "normal"
-    And the first job has not begun
+    And the first job is submitted, and 0.6 seconds pass
+    Then 1 job is reported as waiting in the queue "normal"
+    And the first job has not started
 
-  Scenario: A job that a worker has taken waits no longer
+  Scenario: A job that a worker has started does not count as waiting
     Given a cluster with 1 worker(s)
     And its tasks take 2 seconds
-    When the first job is handed in, and 0.6 seconds pass
-    Then 0 jobs are said to wait in the queue "normal"
+    When the first job is submitted, and 0.6 seconds pass
+    Then 0 jobs are reported as waiting in the queue "normal"
--- a/features/steps/differential_job_steps.py
+++ b/features/steps/differential_job_steps.py
@@ -1,4 +1,4 @@
-"""Differential tests of the job engine against naive versions."""
+"""Differential tests of job scheduling against naive models."""
 
 from __future__ import annotations
 
@@ -50,17 +50,17 @@
     return JobSpec(job_id=f"{number:016x}", queue=QUEUE, payload="p", steps=steps)
 
 
-class NaiveCell:
-    """One copy of everything, no faults: what must become of a job."""
+class NaiveCluster:
+    """Predicts the final state of a job on a cluster without faults."""
 
-    def __init__(self, hopeless: set[str], cancelled: set[str]) -> None:
-        self._hopeless = hopeless
+    def __init__(self, failing_jobs: set[str], cancelled: set[str]) -> None:
+        self._failing_jobs = failing_jobs
         self._cancelled = cancelled
 
     def final_state(self, job: JobSpec) -> str:
         if job.job_id in self._cancelled:
             return "cancelled"
-        return "failed" if job.job_id in self._hopeless else "completed"
+        return "failed" if job.job_id in self._failing_jobs else "completed"
 
     def done_tasks(self, job: JobSpec) -> int | None:
         if self.final_state(job) != "completed":
@@ -68,7 +68,7 @@
         return sum(step.task_count for step in job.steps)
 
 
-@when("{count:d} random sets of jobs are played on a cluster and on the naive version")
+@when("{count:d} random sets of jobs are run on a cluster and on the naive model")
 def _play_both(context: Any, count: int) -> None:
     context.disagreements = []
     context.compared = 0
@@ -83,9 +83,9 @@
 
 def _compare(context: Any, drawn: list[Any]) -> None:
     jobs = [_make_job(number + 1, shapes) for number, (shapes, _, _) in enumerate(drawn)]
-    hopeless = {job.job_id for job, item in zip(jobs, drawn, strict=True) if item[1]}
+    failing_jobs = {job.job_id for job, item in zip(jobs, drawn, strict=True) if item[1]}
     cancelled = {job.job_id for job, item in zip(jobs, drawn, strict=True) if item[2]}
-    work = WorkOptions(seed=5, shortest_seconds=0.6, hopeless=hopeless)
+    work = WorkOptions(seed=5, shortest_seconds=0.6, hopeless=failing_jobs)
     cluster = JobCluster(ClusterOptions(seed=5, nodes=2, workers=4, with_advice=False, work=work))
     cluster.start()
     cluster.run(2.0)
@@ -98,13 +98,13 @@
         cluster.audit.handle_cancel_sent(job_id)
         cluster.call(node, job_id, CancelCall(job_id), lambda _reply: None)
     cluster.run(20.0)
-    naive = NaiveCell(hopeless, cancelled)
+    naive = NaiveCluster(failing_jobs, cancelled)
     assert not cluster.audit.findings, cluster.audit.findings
     for job in jobs:
         _compare_job(context, cluster, node, naive, job)
 
 
-def _compare_job(context: Any, cluster: Any, node: Any, naive: NaiveCell, job: JobSpec) -> None:
+def _compare_job(context: Any, cluster: Any, node: Any, naive: NaiveCluster, job: JobSpec) -> None:
     reported_states: list[str] = []
     cluster.call(
         node, job.job_id, StateCall(job.job_id), lambda reply: reported_states.append(reply.state)
@@ -122,12 +122,12 @@
     context.compared += 1
 
 
-@then("both agree on how every job ended and how often its tasks ended well")
+@then("both agree on the final state of every job and its number of completed tasks")
 def _agree(context: Any) -> None:
     assert context.compared > 0
 
 
-@when("{count:d} random sequences of starts, ends and stops are given to the table of workers")
+@when("{count:d} random sequences of starts, ends and stops are applied to a worker")
 def _room(context: Any, count: int) -> None:
     operations = st.lists(st.tuples(st.booleans(), st.integers(0, 9)), max_size=40)
     context.compared = 0
@@ -163,12 +163,12 @@
         context.compared += 1
 
 
-@then("the room always equals the capacity less what holds it")
-def _room_exact(context: Any) -> None:
+@then("the free capacity always equals the capacity minus the needs of active runs")
+def _free_capacity_exact(context: Any) -> None:
     assert context.compared > 0
 
 
-@when("{count:d} random jobs are advanced, written as records and read back")
+@when("{count:d} random jobs make progress, are written as records and are read back")
 def _records(context: Any, count: int) -> None:
     moves = st.lists(st.tuples(st.integers(0, 8), st.sampled_from(["done", "failed", "save"])))
     context.compared = 0
@@ -219,6 +219,6 @@
             assert task.checkpoint == other.checkpoint
 
 
-@then("what must outlive the holder is the same")
+@then("the recorded progress is the same")
 def _same(context: Any) -> None:
     assert context.compared > 0
--- a/features/steps/job_directed_steps.py
+++ b/features/steps/job_directed_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring about just the fault that one mechanism guards against, in virtual time."""
+"""Steps that cause the specific fault that one mechanism guards against, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from onyxspoke.sim.job_cluster import WORKER_CAPACITY, ClusterOptions, JobCluster, SimulatedNode
 
 SETTLE_SECONDS = 2.0
-CLOSE_SECONDS = 0.1
+TOLERANCE_SECONDS = 0.1
 FIRST_JOB = "00000000000000a1"
 SECOND_JOB = "00000000000000a2"
 
@@ -53,7 +53,7 @@
 def _whole_worker_job(
     context: Any, job_id: str, queue_name: str = "normal", checkpointing: bool = False
 ) -> JobSpec:
-    """Return a job of one task that takes all of a worker."""
+    """Return a job of one task that needs the whole capacity of a worker."""
     policy = context.cluster.configuration.configuration.policy
     step = StepSpec(
         task_count=1,
@@ -84,14 +84,14 @@
     assert reply.code is ReplyCode.OK, reply
 
 
-@given("a job that takes all of its worker is at work")
-@when("a job that takes all of its worker is accepted")
+@given("a job that needs a whole worker is running")
+@when("a job that needs a whole worker is accepted")
 def _first_job(context: Any) -> None:
     _submit(context, FIRST_JOB)
 
 
 def _send(context: Any, spec: JobSpec, seconds: float) -> None:
-    """Hand a job in without waiting for its answer, and let some time pass."""
+    """Submit a job without waiting for the reply, and let some time pass."""
     cluster = context.cluster
     cluster.pool.specs[spec.job_id] = spec
     cluster.audit.handle_submitted(spec)
@@ -103,19 +103,19 @@
     cluster.run(seconds)
 
 
-@given("a patient job with checkpoints takes all of its worker")
+@given("a checkpointing job of the patient queue uses a whole worker")
 def _patient_job(context: Any) -> None:
     _submit(context, FIRST_JOB, queue_name="patient", checkpointing=True)
 
 
-@when("an urgent job that needs all of it is handed in, and {seconds:g} seconds pass")
+@when("an urgent job that needs a whole worker is submitted, and {seconds:g} seconds pass")
 def _urgent_job(context: Any, seconds: float) -> None:
     _send(context, _whole_worker_job(context, SECOND_JOB, "urgent"), seconds)
 
 
 @when("nothing else happens")
 def _nothing_else(context: Any) -> None:
-    """Leave everything as it is."""
+    """Cause no fault."""
 
 
 @when("the holder is killed, and another node holds the shard")
@@ -124,7 +124,7 @@
     _other_holder(context)
 
 
-@then("both jobs are done in the end")
+@then("both jobs eventually complete")
 def _both_done(context: Any) -> None:
     context.cluster.run(25.0)
     for job_id in (FIRST_JOB, SECOND_JOB):
@@ -133,58 +133,61 @@
         assert reply.state == "completed", (job_id, reply)
 
 
-@given("another such job is handed in")
-@when("another such job is handed in")
+@given("a second such job is submitted")
+@when("a second such job is submitted")
 def _second_job(context: Any) -> None:
     context.second_at = context.cluster.time.now()
     _submit(context, SECOND_JOB)
     context.cluster.run(2.0)
 
 
-@then("the successor knows since when the other job waits")
-def _knows_age(context: Any) -> None:
+@then("the successor knows since when the second job has waited")
+def _check_waiting_since(context: Any) -> None:
     scheduler = context.successor.node.seats[0].scheduler
-    kept = scheduler.context.job_registry.jobs[SECOND_JOB].accepted_at
-    assert abs(kept - context.second_at) < CLOSE_SECONDS, (kept, context.second_at)
+    accepted_at = scheduler.context.job_registry.jobs[SECOND_JOB].accepted_at
+    assert abs(accepted_at - context.second_at) < TOLERANCE_SECONDS, (
+        accepted_at,
+        context.second_at,
+    )
 
 
 @given("its tasks take {seconds:g} seconds")
-def _take(context: Any, seconds: float) -> None:
+def _set_task_seconds(context: Any, seconds: float) -> None:
     work = context.cluster.pool.work
     work.shortest_seconds = work.longest_seconds = seconds
 
 
-@when("the workers take orders {seconds:g} seconds late")
-def _late(context: Any, seconds: float) -> None:
+@when("the workers handle orders {seconds:g} seconds late")
+def _delay_orders(context: Any, seconds: float) -> None:
     for worker in context.cluster.pool.workers.values():
         worker.faults.late_share = 1.0
         worker.faults.late_seconds = seconds
 
 
-@when("the workers take orders in time")
-def _in_time(context: Any) -> None:
+@when("the workers handle orders without delay")
+def _end_order_delay(context: Any) -> None:
     for worker in context.cluster.pool.workers.values():
         worker.faults.late_share = 0.0
 
 
-@when("the first job is handed in, and {seconds:g} seconds pass")
-def _hand_in(context: Any, seconds: float) -> None:
+@when("the first job is submitted, and {seconds:g} seconds pass")
+def _submit_first(context: Any, seconds: float) -> None:
     _send(context, _whole_worker_job(context, FIRST_JOB), seconds)
 
 
-@when("a job that takes all of its worker is accepted, and {seconds:g} seconds pass")
+@when("a job that needs a whole worker is accepted, and {seconds:g} seconds pass")
 def _accepted(context: Any, seconds: float) -> None:
-    _hand_in(context, seconds)
+    _submit_first(context, seconds)
     assert context.cluster.audit.jobs[FIRST_JOB].accepted_at is not None
 
 
-@when("the store falls silent")
-def _silent(context: Any) -> None:
+@when("the store stops answering calls")
+def _stop_store(context: Any) -> None:
     context.cluster.store.faults.is_down = True
 
 
 @when("the store answers again in that cell")
-def _answers(context: Any) -> None:
+def _restore_store(context: Any) -> None:
     context.cluster.store.faults.is_down = False
 
 
@@ -198,7 +201,7 @@
     context.cluster.pool.stop_grace_seconds = seconds
 
 
-@when("the holder is killed, and its successor cannot reach the worker that runs it")
+@when("the holder is killed, and its successor cannot reach the worker that runs the job")
 def _kill_and_cut(context: Any) -> None:
     cluster = context.cluster
     busy = [worker.worker_id for worker in cluster.pool.workers.values() if worker.runs]
@@ -209,7 +212,7 @@
     _other_holder(context)
 
 
-@given("the other workers take no orders")
+@given("the other workers receive no orders")
 def _no_orders(context: Any) -> None:
     workers = context.cluster.pool.workers.values()
     idle = [worker.worker_id for worker in workers if not worker.runs]
@@ -218,13 +221,13 @@
         context.cluster.cut(host, names)
 
 
-@when("the other workers take orders again")
+@when("the other workers receive orders again")
 def _orders_again(context: Any) -> None:
     for host, names in context.idle:
         context.cluster.heal(host, names)
 
 
-@when("the holder is cut off from the worker that runs it")
+@when("the holder is cut off from the worker that runs the job")
 def _cut_worker(context: Any) -> None:
     workers = context.cluster.pool.workers.values()
     busy = [worker.worker_id for worker in workers if worker.runs]
@@ -265,12 +268,12 @@
         cluster.run(0.1)
     others = [node for node in cluster.nodes.values() if node is not context.holder]
     context.successor = next(node for node in others if node.is_holding)
-    # What the former holder still believes is not what the cluster goes by.
+    # The previous holder may still consider itself the holder, so calls go to the successor.
     cluster.holder = lambda: context.successor
 
 
-@when("the former holder wakes up and is asked for the job")
-def _ask_former(context: Any) -> None:
+@when("the previous holder resumes and is asked for the job")
+def _ask_previous_holder(context: Any) -> None:
     context.holder.process.resume()
     reply = _call(context, context.holder, FIRST_JOB, StateCall(FIRST_JOB))
     if reply is not None:
@@ -289,32 +292,32 @@
     assert Violation(name) in found, found
 
 
-@when("one of its workers leaves, and is gone after {seconds:g} second")
+@when("one of its idle workers is drained, and is gone after {seconds:g} second")
 def _leave(context: Any, seconds: float) -> None:
     workers = context.cluster.pool.workers.values()
     idle = next(worker.worker_id for worker in workers if not worker.runs)
     context.cluster.drain_worker(idle, seconds)
 
 
-@when("the store answers again, without the entries of workers that live")
+@when("the store answers again, without the entries of live workers")
 def _answers_without_entries(context: Any) -> None:
     for worker_id in list(context.cluster.pool.workers):
         context.cluster.directory.drop(worker_id)
     context.cluster.store.faults.is_down = False
 
 
-@when("the entries of its workers go, though they serve on")
+@when("the entries of its workers are deleted while the workers keep running")
 def _entries_go(context: Any) -> None:
     for worker_id in list(context.cluster.pool.workers):
         context.cluster.directory.drop(worker_id)
 
 
-@then("the other job has not begun")
+@then("the second job has not started")
 def _has_not_begun(context: Any) -> None:
     assert not context.cluster.audit.jobs[SECOND_JOB].has_started
 
 
-@then("the first job is done")
+@then("the first job is completed")
 def _first_done(context: Any) -> None:
     reply = _call(context, context.cluster.holder(), FIRST_JOB, StateCall(FIRST_JOB))
     assert reply is not None
@@ -323,22 +326,22 @@
 
 @then("the first job has {state}")
 def _first_has(context: Any, state: str) -> None:
-    assert context.cluster.audit.jobs[FIRST_JOB].has_started is (state == "begun")
+    assert context.cluster.audit.jobs[FIRST_JOB].has_started is (state == "started")
 
 
-@then("the other job has begun")
+@then("the second job has started")
 def _has_begun(context: Any) -> None:
     assert context.cluster.audit.jobs[SECOND_JOB].has_started
 
 
-@then("the other job runs in the end")
+@then("the second job eventually starts")
 def _runs(context: Any) -> None:
     context.cluster.run(8.0)
     assert context.cluster.audit.jobs[SECOND_JOB].has_started
 
 
-@then('{count:d} job is said to wait in the queue "{queue}"')
-@then('{count:d} jobs are said to wait in the queue "{queue}"')
+@then('{count:d} job is reported as waiting in the queue "{queue}"')
+@then('{count:d} jobs are reported as waiting in the queue "{queue}"')
 def _said_to_wait(context: Any, count: int, queue: str) -> None:
     reply = _call(context, context.cluster.holder(), "", WaitingCountCall(queue))
     assert reply is not None and reply.code is ReplyCode.OK, reply
--- a/features/steps/job_promise_steps.py
+++ b/features/steps/job_promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play jobs over fault schedules in virtual time."""
+"""Steps that simulate jobs under fault schedules in virtual time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @when("jobs are played over seeds {first:d} to {last:d} without faults")
-def _play_calm(context: Any, first: int, last: int) -> None:
+def _play_without_faults(context: Any, first: int, last: int) -> None:
     context.job_reports = [play(seed, []) for seed in range(first, last + 1)]
 
 
@@ -113,7 +113,7 @@
 
 
 @contextmanager
-def _without_stray_room() -> Iterator[None]:
+def _without_orphan_capacity() -> Iterator[None]:
     original = Worker.is_offered
 
     def is_offered(worker: Worker, now: float) -> bool:
@@ -128,7 +128,7 @@
 
 
 @contextmanager
-def _without_proof() -> Iterator[None]:
+def _without_ownership_proof() -> Iterator[None]:
     def reply_at_once(queue: CommitQueue, effect: Any) -> None:
         effect(queue.ownership_proven_at)
 
@@ -137,24 +137,24 @@
 
 
 @contextmanager
-def _without_commit_before_noting() -> Iterator[None]:
-    def note_at_once(keeper: WorkerManager, worker: Worker, now: float) -> None:
+def _without_commit_before_acknowledgement() -> Iterator[None]:
+    def acknowledge_at_once(manager: WorkerManager, worker: Worker, now: float) -> None:
         worker.acknowledged_through = worker.processed_through
         worker.next_hold_at = now + 0.03
 
-    with mock.patch.object(WorkerManager, "_after_answer", note_at_once):
+    with mock.patch.object(WorkerManager, "_after_answer", acknowledge_at_once):
         yield
 
 
 @contextmanager
-def _without_mark() -> Iterator[None]:
+def _without_starts_marker() -> Iterator[None]:
     with mock.patch.object(scheduler, "starts_are_recorded", lambda _records, _token: False):
         yield
 
 
 @contextmanager
 def _without_crash_count() -> Iterator[None]:
-    with mock.patch.object(JobBook, "task_crashed", lambda _book, _task, _blame, _now: False):
+    with mock.patch.object(JobBook, "task_crashed", lambda _registry, _task, _blame, _now: False):
         yield
 
 
@@ -177,8 +177,8 @@
 
 
 @contextmanager
-def _without_doubted_crashes() -> Iterator[None]:
-    with mock.patch.object(JobBook, "tasks_doubted_on", lambda _book, _worker_id: []):
+def _without_unconfirmed_crashes() -> Iterator[None]:
+    with mock.patch.object(JobBook, "tasks_doubted_on", lambda _registry, _worker_id: []):
         yield
 
 
@@ -200,19 +200,19 @@
         yield
 
 
-#: What takes a mechanism out, by its name in the features.
+#: Context managers that disable one mechanism, by the mechanism's name in the features.
 WITHOUT = {
-    "starts only after the commit": _without_commit_before_start,
-    "the record of starts": _without_record_of_starts,
-    "the mark of recorded starts": _without_mark,
+    "start orders only after the commit": _without_commit_before_start,
+    "the records of starts": _without_record_of_starts,
+    "the marker of recorded starts": _without_starts_marker,
     "fencing tokens at workers": _without_fencing,
-    "the end of leases": _without_leases,
-    "room of stray runs": _without_stray_room,
-    "proof before unknown jobs": _without_proof,
-    "ends noted only after the commit": _without_commit_before_noting,
+    "lease expiry": _without_leases,
+    "capacity of orphan runs": _without_orphan_capacity,
+    "proof of ownership before unknown jobs": _without_ownership_proof,
+    "acknowledging ends only after the commit": _without_commit_before_acknowledgement,
     "the count of crashes": _without_crash_count,
     "the record of crashes": _without_record_of_crashes,
-    "crashes that a former holder did not see": _without_doubted_crashes,
+    "crashes that a former holder did not see": _without_unconfirmed_crashes,
     "a beginning apart": _without_isolation,
     "a trial of steps": _without_trial,
 }
