--- a/features/steps/large_cell_steps.py
+++ b/features/steps/large_cell_steps.py
@@ -1,4 +1,4 @@
-"""Steps about cells of many nodes and shards."""
+"""Steps for cells with many nodes and shards."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 )
 
 QUEUE = "normal"
-WORKERS_A_SHARD = 3
+WORKERS_PER_SHARD = 3
 TOLERANCE_SECONDS = 0.01
 
 
-@given("a new cell of {workers:d} workers and {part:d} workers a shard")
+@given("a new cell of {workers:d} workers, with {part:d} workers per shard")
 def _new_cell(context: Any, workers: int, part: int) -> None:
     context.cluster = JobCluster(
         ClusterOptions(
@@ -39,8 +39,8 @@
     context.cluster.start()
 
 
-@when("{count:d} more workers come to it, one each {seconds:g} seconds")
-def _come(context: Any, count: int, seconds: float) -> None:
+@when("{count:d} more workers join it, one every {seconds:g} seconds")
+def _join_workers(context: Any, count: int, seconds: float) -> None:
     cluster = context.cluster
     for _ in range(count):
         cluster.run(seconds)
@@ -52,7 +52,7 @@
     context.cluster.run(seconds)
 
 
-@then("it is laid out in {count:d} shards")
+@then("its layout has {count:d} shards")
 def _laid_out(context: Any, count: int) -> None:
     layouts = [node.node.layout for node in context.cluster.nodes.values()]
     assert all(layout and layout.shard_count == count for layout in layouts), layouts
@@ -60,7 +60,7 @@
 
 @given(
     "a large cell of {nodes:d} nodes and {shards:d} shards, "
-    "whose store takes {writes:d} writes and {reads:d} reads a second"
+    "whose store serves {writes:d} writes and {reads:d} reads per second"
 )
 def _large_cell(context: Any, nodes: int, shards: int, writes: int, reads: int) -> None:
     context.shard_count = shards
@@ -68,10 +68,10 @@
         ClusterOptions(
             seed=6,
             nodes=nodes,
-            workers=shards * WORKERS_A_SHARD,
-            rack_size=WORKERS_A_SHARD,
+            workers=shards * WORKERS_PER_SHARD,
+            rack_size=WORKERS_PER_SHARD,
             kinds="a",
-            workers_per_shard=WORKERS_A_SHARD,
+            workers_per_shard=WORKERS_PER_SHARD,
             always_good=("w",),
             work=WorkOptions(seed=6),
             store_budget=StoreBudget(writes_per_second=writes, reads_per_second=reads),
@@ -90,7 +90,7 @@
     )
 
 
-@then("each of its shards has one holder, and {count:d} nodes at least hold one")
+@then("each of its shards has one holder, and at least {count:d} nodes hold one")
 def _one_holder(context: Any, count: int) -> None:
     holders = _holders(context.cluster.nodes.values())
     assert [shard for shard, _name in holders] == list(range(context.shard_count)), holders
@@ -105,22 +105,22 @@
     ]
 
 
-@then("the store turned away no write and {reads:d} reads at most")
-def _turned_away(context: Any, reads: int) -> None:
+@then("the store rejected no write and at most {reads:d} reads")
+def _check_rejected(context: Any, reads: int) -> None:
     store = context.cluster.store
     assert store.writes.turned_away == 0, store.writes.turned_away
     assert store.reads.turned_away <= reads, store.reads.turned_away
 
 
-@when("three holders of it lose their power")
-def _lose_holders(context: Any) -> None:
+@when("three of its holders are powered off")
+def _power_off_holders(context: Any) -> None:
     names = list(dict.fromkeys(name for _shard, name in _holders(context.cluster.nodes.values())))
     for name in names[:3]:
         context.cluster.power_off_node(name)
 
 
-@when("all but {count:d} of its nodes lose their power, the holders first")
-def _lose_most(context: Any, count: int) -> None:
+@when("all but {count:d} of its nodes are powered off, the holders first")
+def _power_off_most(context: Any, count: int) -> None:
     cluster = context.cluster
     holding = {name for _shard, name in _holders(cluster.nodes.values())}
     named = {
@@ -137,8 +137,8 @@
         cluster.power_off_node(node.name)
 
 
-@when("{count:d} jobs are handed in to it over {seconds:g} seconds")
-def _hand_in(context: Any, count: int, seconds: float) -> None:
+@when("{count:d} jobs are submitted to it over {seconds:g} seconds")
+def _submit_jobs(context: Any, count: int, seconds: float) -> None:
     cluster = context.cluster
     context.replies = []
     context.expected = count
@@ -161,7 +161,7 @@
     assert codes == [ReplyCode.OK] * context.expected, codes
 
 
-@then("a follower's heartbeat names no claim, and a holder's only its own")
+@then("a follower's heartbeat contains no claim, and a holder's only its own claims")
 def _heartbeats(context: Any) -> None:
     for node in context.cluster.nodes.values():
         held = {shard for shard, seat in node.node.seats.items() if seat.is_holding}
@@ -169,12 +169,12 @@
         assert named == held, (node.name, named, held)
 
 
-@when("its streams are counted")
+@when("its peer connections are recorded")
 def _count_streams(context: Any) -> None:
     context.streams = _streams(context.cluster.nodes.values())
 
 
-@then("no stream of it was lost")
+@then("no peer connection of it was lost")
 def _no_stream_lost(context: Any) -> None:
     lost = context.streams - _streams(context.cluster.nodes.values())
     assert not lost, len(lost)
@@ -190,8 +190,8 @@
     return link
 
 
-@given("a holder that has told {count:d} peers who is to take over")
-def _told(context: Any, count: int) -> None:
+@given("a holder that has notified {count:d} peers of its successors")
+def _notified_holder(context: Any, count: int) -> None:
     context.links = [_link(number, 1.0) for number in range(count)]
     context.succession = Succession()
     context.succession.note_change()
@@ -199,27 +199,27 @@
     assert receivers == context.links
 
 
-@when("a small node comes")
-def _small_comes(context: Any) -> None:
+@when("a small node joins")
+def _small_joins(context: Any) -> None:
     context.new = _link(len(context.links), 0.5)
     context.links.append(context.new)
     context.succession.note_change()
 
 
-@when("a larger node than all others comes")
-def _large_comes(context: Any) -> None:
+@when("a node larger than all others joins")
+def _large_joins(context: Any) -> None:
     context.links.append(_link(len(context.links), 2.0))
     context.succession.note_change()
 
 
-@then("only that node is told")
-def _one_told(context: Any) -> None:
+@then("only that node is notified")
+def _one_notified(context: Any) -> None:
     [(_message, receivers)] = context.succession.take_news([0], context.links)
     assert receivers == [context.new]
 
 
-@then("all of its peers are told")
-def _all_told(context: Any) -> None:
+@then("all of its peers are notified")
+def _all_notified(context: Any) -> None:
     [(message, receivers)] = context.succession.take_news([0], context.links)
     assert receivers == context.links
     assert message.members[0].weight == max(node.weight for node in message.members)
@@ -253,17 +253,17 @@
     assert all(found and found.version == 2 for found in versions.values()), versions
 
 
-@then("copies of it were sent to the node that was cut off, and to no other")
+@then("copies of it were sent to the node that was cut off, and to no other node")
 def _copies(context: Any) -> None:
     assert context.copies
     assert set(context.copies) == {context.lost_host}, context.copies
 
 
 @then(
-    "a holder's heartbeats go to its successors each {often:g} seconds, "
-    "to others each {seldom:g} seconds"
+    "a holder sends heartbeats to its successors every {successor_seconds:g} seconds, "
+    "to other nodes every {other_seconds:g} seconds"
 )
-def _intervals(context: Any, often: float, seldom: float) -> None:
+def _intervals(context: Any, successor_seconds: float, other_seconds: float) -> None:
     cluster = context.cluster
     shard, name = _holders(cluster.nodes.values())[0]
     holder = cluster.nodes[name].node
@@ -272,13 +272,13 @@
     links = holder.peers.all_up_links()
     holder._send_heartbeats(links)
     for link in links:
-        expected = often if link.identity.incarnation in named else seldom
+        expected = successor_seconds if link.identity.incarnation in named else other_seconds
         assert abs(link.heartbeat_due_at - now - expected) < TOLERANCE_SECONDS, link.host
     assert {link.identity.incarnation in named for link in links} == {True, False}
 
 
-@when("a holder of it loses its power")
-def _lose_holder(context: Any) -> None:
+@when("one of its holders is powered off")
+def _power_off_holder(context: Any) -> None:
     _shard, name = _holders(context.cluster.nodes.values())[0]
     context.cluster.power_off_node(name)
 
@@ -292,13 +292,13 @@
     context.replies = []
     context.expected = 0
     context.cluster.start()
-    # A new cell's shard may go to a small node first.
+    # A small node may hold the shard of a new cell before a large node takes the shard over.
     context.cluster.run(6.0)
     _follow_holders(context, 0.1)
 
 
 def _follow_holders(context: Any, seconds: float) -> None:
-    """Let time pass and note who holds the shard."""
+    """Let time pass and record each new holder of the shard."""
     for _ in range(int(seconds / 0.05)):
         context.cluster.run(0.05)
         holder = context.cluster.holder()
@@ -306,14 +306,14 @@
             context.holders.append(holder.process.name)
 
 
-@when("the large node loses its power")
-def _large_dies(context: Any) -> None:
+@when("the large node is powered off")
+def _power_off_large(context: Any) -> None:
     assert context.cluster.holder().name == "node-0"
     context.cluster.power_off_node("node-0")
     _follow_holders(context, 3.0)
 
 
-@then("a small node of it holds the shard")
+@then("a small node holds the shard")
 def _small_holds(context: Any) -> None:
     assert context.cluster.holder().name != "node-0"
 
@@ -336,7 +336,7 @@
     cluster.call(node, job.job_id, SubmitCall(job), context.replies.append)
 
 
-@when("{seconds:g} seconds pass in the large cell, with jobs handed in")
+@when("{seconds:g} seconds pass in the large cell, with jobs submitted")
 def _pass_with_jobs(context: Any, seconds: float) -> None:
     context.cluster.run(0.5)
     for _ in range(int(seconds * 10)):
@@ -345,7 +345,7 @@
     context.cluster.run(1.0)
 
 
-@then("the large node of it holds the shard")
+@then("the large node holds the shard")
 def _large_holds(context: Any) -> None:
     assert context.cluster.holder().name == "node-0", context.holders
 
@@ -358,8 +358,8 @@
 
 
 @when(
-    "{count:d} jobs are handed in to it over {seconds:d} seconds, "
-    "and the passes of placement are counted"
+    "{count:d} jobs are submitted to it over {seconds:d} seconds, "
+    "and the placement passes are counted"
 )
 def _count_passes(context: Any, count: int, seconds: int) -> None:
     context.passes = 0
@@ -376,6 +376,6 @@
     context.cluster.run(1.0)
 
 
-@then("there were {count:d} passes at most")
+@then("there were at most {count:d} placement passes")
 def _passes(context: Any, count: int) -> None:
     assert 0 < context.passes <= count, context.passes
--- a/features/steps/naive.py
+++ b/features/steps/naive.py
@@ -1,8 +1,8 @@
-"""Naive versions: plain, slow and obviously right."""
+"""Naive models for differential tests: simple, slow and easy to verify by reading."""
 
 
 class NaiveSettings:
-    """One dictionary; changes come one after the other."""
+    """Settings in one dictionary; changes are applied one after the other."""
 
     def __init__(self):
         self.values = {}
@@ -27,7 +27,7 @@
 
 
 class NaiveLedger:
-    """Who holds each worker; a claim is right if nothing happened since its writer looked."""
+    """The holder of each worker; a claim fails if worker or holder changed since its read."""
 
     def __init__(self):
         self.holders = {}
@@ -51,7 +51,7 @@
 
 
 class NaiveCell:
-    """Runs every request at once, exactly once for each key."""
+    """Runs every request immediately, and exactly once for each nonce."""
 
     def __init__(self, digest_of):
         self._digest_of = digest_of
@@ -63,7 +63,7 @@
 
 
 def naive_has_room(task_class, workers):
-    """Scan everything."""
+    """Return whether any worker has free capacity for a task of the class, by a full scan."""
     for worker in workers:
         if task_class.generations and worker.machine.generation not in task_class.generations:
             continue
