--- a/features/steps/job_promise_steps.py
+++ b/features/steps/job_promise_steps.py
@@ -10,8 +10,8 @@
 from behave import then, when
 
 from onyxspoke.core.jobs import records
-from onyxspoke.core.jobs.book import JobBook
 from onyxspoke.core.jobs.crashes import CrashTally
+from onyxspoke.core.jobs.job_registry import JobRegistry
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.placement import isolation, spreading
 from onyxspoke.core.placement.spreading import StepPlacement
@@ -154,7 +154,9 @@
 
 @contextmanager
 def _without_crash_count() -> Iterator[None]:
-    with mock.patch.object(JobBook, "task_crashed", lambda _registry, _task, _blame, _now: False):
+    with mock.patch.object(
+        JobRegistry, "task_crashed", lambda _registry, _task, _blame, _now: False
+    ):
         yield
 
 
@@ -178,13 +180,13 @@
 
 @contextmanager
 def _without_unconfirmed_crashes() -> Iterator[None]:
-    with mock.patch.object(JobBook, "tasks_doubted_on", lambda _registry, _worker_id: []):
+    with mock.patch.object(JobRegistry, "tasks_in_doubt_on", lambda _registry, _worker_id: []):
         yield
 
 
 @contextmanager
 def _without_isolation() -> Iterator[None]:
-    with mock.patch.object(CrashTally, "is_suspicious", False):
+    with mock.patch.object(CrashTally, "needs_isolation", False):
         yield
 
 
@@ -201,7 +203,7 @@
 
 
 #: Context managers that disable one mechanism, by the mechanism's name in the features.
-WITHOUT = {
+MECHANISM_DISABLERS = {
     "start orders only after the commit": _without_commit_before_start,
     "the records of starts": _without_record_of_starts,
     "the marker of recorded starts": _without_starts_marker,
--- a/features/steps/naive.py
+++ b/features/steps/naive.py
@@ -26,7 +26,7 @@
             path = path.rpartition("/")[0]
 
 
-class NaiveLedger:
+class NaiveOwnership:
     """The holder of each worker; a claim fails if worker or holder changed since its read."""
 
     def __init__(self):
@@ -62,7 +62,7 @@
         return self.answers[nonce]
 
 
-def naive_has_room(task_class, workers):
+def naive_has_free_capacity(task_class, workers):
     """Return whether any worker has free capacity for a task of the class, by a full scan."""
     for worker in workers:
         if task_class.generations and worker.machine.generation not in task_class.generations:
--- a/src/onyxspoke/core/jobs/crashes.py
+++ b/src/onyxspoke/core/jobs/crashes.py
@@ -25,18 +25,18 @@
 TOTAL_CRASHES_TO_ISOLATE = 2
 
 
-class Blame(Enum):
+class CrashBlame(Enum):
     """How strongly the crash of a worker is attributed to one run.
 
-    ``NONE``: a long-running task had run for a long time.  ``DOUBTED``: the run may never have
-    started on the worker.  ``PRESENT``: the run was on the worker.  ``RECENT``: the run had
+    ``NONE``: a long-running task had run for a long time.  ``UNCONFIRMED``: the run may never have
+    started on the worker.  ``CONFIRMED``: the run was on the worker.  ``RECENT``: the run had
     recently started, and so had runs of other jobs.  ``ALONE``: only runs of this job had recently
     started.
     """
 
     NONE = "none"
-    DOUBTED = "doubted"
-    PRESENT = "present"
+    UNCONFIRMED = "doubted"
+    CONFIRMED = "present"
     RECENT = "recent"
     ALONE = "alone"
 
@@ -55,19 +55,19 @@
     recent: int = 0
     alone: int = 0
 
-    def add(self, blame: Blame) -> CrashTally:
+    def add(self, blame: CrashBlame) -> CrashTally:
         """Return the tally with one more crash, or an empty tally if the blame is ``NONE``."""
-        if blame is Blame.NONE:
+        if blame is CrashBlame.NONE:
             return CrashTally()
         return CrashTally(
             self.total + 1,
-            self.certain + (blame is not Blame.DOUBTED),
-            self.recent + (blame in (Blame.RECENT, Blame.ALONE)),
-            self.alone + (blame is Blame.ALONE),
+            self.certain + (blame is not CrashBlame.UNCONFIRMED),
+            self.recent + (blame in (CrashBlame.RECENT, CrashBlame.ALONE)),
+            self.alone + (blame is CrashBlame.ALONE),
         )
 
     @property
-    def is_suspicious(self) -> bool:
+    def needs_isolation(self) -> bool:
         """Whether to start the task apart from other jobs, so that a crash identifies its cause."""
         return self.recent > 0 or self.total >= TOTAL_CRASHES_TO_ISOLATE
 
--- a/src/onyxspoke/core/jobs/book.py
+++ b/src/onyxspoke/core/jobs/job_registry.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from onyxspoke.core.estimates.work import WorkModel, unlearned_work
-from onyxspoke.core.jobs.crashes import Blame
+from onyxspoke.core.estimates.work_model import WorkModel, default_work_model
+from onyxspoke.core.jobs.crashes import CrashBlame
 from onyxspoke.core.jobs.model import (
     JobId,
     JobSpec,
@@ -23,14 +23,14 @@
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress, TaskProgress
 from onyxspoke.core.jobs.records import ProgressRecord, restore_progress
 from onyxspoke.core.jobs.states import JobState, TaskState
-from onyxspoke.core.tenants.keys import may_see
+from onyxspoke.core.tenants.keys import may_access_job
 from onyxspoke.core.tenants.policy import TenantName
 
 #: Maximum number of repetitions of one job that may be active at the same time.
 MAXIMUM_ACTIVE_REPETITIONS = 64
 
 
-class Submission(Enum):
+class SubmissionOutcome(Enum):
     """The outcome of submitting a job."""
 
     NEW = "new"
@@ -46,7 +46,7 @@
     cancelled_at: float
 
 
-class JobBook:
+class JobRegistry:
     """The registry of the jobs of one shard.
 
     Parameters
@@ -60,7 +60,7 @@
     def __init__(
         self,
         retention_seconds: float,
-        work_model_of: Callable[[str, TenantName], WorkModel] = unlearned_work,
+        work_model_of: Callable[[str, TenantName], WorkModel] = default_work_model,
     ) -> None:
         self._retention_seconds = retention_seconds
         self._work_model_of = work_model_of
@@ -81,16 +81,18 @@
 
     # Callers
 
-    def submit(self, spec: JobSpec, now: float, handed_in_at: float | None = None) -> Submission:
+    def submit(
+        self, spec: JobSpec, now: float, first_submitted_at: float | None = None
+    ) -> SubmissionOutcome:
         """Add a submitted job; a second submission with the same identifier changes nothing.
 
-        ``handed_in_at`` is the time of the first submission, if an earlier one was refused.
+        ``first_submitted_at`` is the time of the first submission, if an earlier one was refused.
         """
         if spec.job_id in self.jobs:
-            return Submission.KNOWN
+            return SubmissionOutcome.KNOWN
         if self.was_cancelled_before(spec):
-            return Submission.CANCELLED_BEFORE
-        accepted_at = now if handed_in_at is None else handed_in_at
+            return SubmissionOutcome.CANCELLED_BEFORE
+        accepted_at = now if first_submitted_at is None else first_submitted_at
         job = JobProgress(spec, accepted_at, self._work_model_of(spec.queue.name, spec.tenant))
         self.jobs[spec.job_id] = job
         self.dirty[spec.job_id] = None
@@ -98,12 +100,12 @@
             self._scheduled[spec.job_id] = job
         else:
             self._start_repetition(job, 0, now)
-        return Submission.NEW
+        return SubmissionOutcome.NEW
 
     def was_cancelled_before(self, spec: JobSpec) -> bool:
         """Return whether the job's tenant cancelled the job before submitting it."""
         cancel = self.cancelled_before.get(spec.job_id)
-        return cancel is not None and may_see(cancel.tenant, spec.tenant)
+        return cancel is not None and may_access_job(cancel.tenant, spec.tenant)
 
     def withdraw(self, job_id: JobId) -> None:
         """Remove a job whose record was never sent to the store, but keep its cancellation."""
@@ -119,7 +121,7 @@
     def find_visible(self, job_id: JobId, tenant: TenantName) -> JobProgress | None:
         """Return a job if it is known and visible to the tenant."""
         job = self.jobs.get(job_id)
-        return job if job is not None and may_see(job.spec.tenant, tenant) else None
+        return job if job is not None and may_access_job(job.spec.tenant, tenant) else None
 
     def cancel(self, job_id: JobId, tenant: TenantName, now: float) -> JobProgress | None:
         """Cancel a job; an unknown identifier is recorded as cancelled before submission.
@@ -143,7 +145,7 @@
             for job in self.jobs.values()
             if job.spec.queue.name == queue
             and job.committed_state is not None
-            and not job.begun
+            and not job.has_started
             and not job.state.is_final
         )
 
@@ -183,11 +185,11 @@
         self.jobs[job_id] = job
         self._finished[job_id] = None
 
-    def doubted_workers(self) -> list[WorkerId]:
+    def workers_with_tasks_in_doubt(self) -> list[WorkerId]:
         """Return the workers that may run tasks in doubt."""
         return list(self._in_doubt_by_worker)
 
-    def tasks_doubted_on(self, worker_id: WorkerId) -> list[TaskProgress]:
+    def tasks_in_doubt_on(self, worker_id: WorkerId) -> list[TaskProgress]:
         """Return the tasks in doubt that previous holders placed on a worker."""
         tasks = self._in_doubt_by_worker.get(worker_id, ())
         return [task for task in tasks if task.state is TaskState.IN_DOUBT]
@@ -201,7 +203,7 @@
             tasks = (task for step in steps for task in step.tasks)
         return (task for task in tasks if task.state is TaskState.IN_DOUBT)
 
-    def settle_worker(self, worker_id: WorkerId, now: float) -> list[StepProgress]:
+    def requeue_tasks_in_doubt_on(self, worker_id: WorkerId, now: float) -> list[StepProgress]:
         """Move the tasks in doubt on a worker that does not run them back to waiting.
 
         Returns
@@ -220,7 +222,7 @@
                 self._update_startable(step)
         return list(steps.values())
 
-    def settle_doubt(self, now: float) -> None:
+    def requeue_tasks_in_doubt(self, now: float) -> None:
         """Move every task that is still in doubt back to waiting."""
         for job in self.jobs.values():
             for step in job.steps():
@@ -239,25 +241,25 @@
 
     # Tasks
 
-    def task_started(self, task: TaskProgress) -> None:
+    def task_activated(self, task: TaskProgress) -> None:
         """Handle that a run of a task was planned, or was found on a worker."""
         task.move_to(TaskState.ACTIVE)
         self._update_startable(task.step)
 
-    def task_begun(self, task: TaskProgress, now: float) -> None:
+    def task_run_confirmed(self, task: TaskProgress, now: float) -> None:
         """Handle a worker's report that it has, or had, a run of a task: the job has started.
 
         A start order alone does not count, as the worker may reject the order or never get it.
         """
         job = task.step.job
-        if job.begun:
+        if job.has_started:
             return
-        job.begun = True
+        job.has_started = True
         if job.state is JobState.QUEUED:
             job.move_to(JobState.RUNNING, now)
             self.dirty[job.job_id] = None
 
-    def task_waits(self, task: TaskProgress) -> None:
+    def task_requeued(self, task: TaskProgress) -> None:
         """Move a task back to waiting, for example because its run failed or never started."""
         task.move_to(TaskState.WAITING)
         self._update_startable(task.step)
@@ -284,7 +286,7 @@
         self.dirty[step.job.job_id] = None
         self._fail_after_last_attempt(step, len(failed_run_numbers), now)
 
-    def task_crashed(self, task: TaskProgress, blame: Blame, now: float) -> bool:
+    def task_crashed(self, task: TaskProgress, blame: CrashBlame, now: float) -> bool:
         """Count a worker crash during a run of a task; return whether the job fails because of it.
 
         A crash does not count as an attempt, because attempts count only ends that workers report.
@@ -295,9 +297,9 @@
         if job.state.is_final or task.state is TaskState.DONE:
             return False
         task.crashes = task.crashes.add(blame)
-        if blame is Blame.ALONE:
-            task.step.crashed_at = now
-            task.step.done_before_crash = task.step.done_count
+        if blame is CrashBlame.ALONE:
+            task.step.last_crash_at = now
+            task.step.done_count_at_crash = task.step.done_count
         self.dirty[job.job_id] = None
         if not task.crashes.reaches_crash_limit:
             return False
@@ -317,7 +319,7 @@
 
     # Time
 
-    def keep(self, now: float, wall_clock_ms: float, start_ahead_ms: float) -> None:
+    def tick(self, now: float, wall_clock_ms: float, start_ahead_ms: float) -> None:
         """Start repetitions that are due, and remove jobs and cancels after their retention time.
 
         Parameters
--- a/src/onyxspoke/core/jobs/model.py
+++ b/src/onyxspoke/core/jobs/model.py
@@ -14,7 +14,7 @@
 _MILLISECONDS = 1_000.0
 
 
-class Needs(NamedTuple):
+class ResourceVector(NamedTuple):
     """Amounts of each resource: the capacity of a worker, or the needs of a task."""
 
     processors_milli: int = 0
@@ -107,10 +107,10 @@
     disruption_budget: int = -1
 
     @property
-    def needs(self) -> Needs:
+    def needs(self) -> ResourceVector:
         """The resources that one task reserves on its worker."""
         processors = 0 if self.fills else self.processors_milli
-        return Needs(processors, self.memory_mb, self.accelerators)
+        return ResourceVector(processors, self.memory_mb, self.accelerators)
 
 
 class AdvicePolicy(msgspec.Struct, frozen=True, array_like=True):
--- a/src/onyxspoke/core/jobs/policy.py
+++ b/src/onyxspoke/core/jobs/policy.py
@@ -13,14 +13,14 @@
 
     Attributes
     ----------
-    checks_room : bool
+    checks_capacity : bool
         Whether its workers reject tasks that exceed their free capacity.
     is_spare : bool
         Whether its machines are powered off and run no tasks.
     """
 
     name: str
-    checks_room: bool = False
+    checks_capacity: bool = False
     is_spare: bool = False
 
 
@@ -36,7 +36,7 @@
         """Return the current policy of a job's queue, or the job's copy if the queue is removed."""
         return self.queues.get(job.queue.name, job.queue)
 
-    def first_priority(self, service: str) -> int | None:
+    def highest_priority(self, service: str) -> int | None:
         """Return the highest priority among a service's queues; ``None`` if it has no queue."""
         service_queues = (queue for queue in self.queues.values() if queue.service == service)
         return min((queue.priority for queue in service_queues), default=None)
--- a/src/onyxspoke/core/jobs/progress.py
+++ b/src/onyxspoke/core/jobs/progress.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from onyxspoke.core.estimates.work import UNLEARNED_WORK, WorkModel
+from onyxspoke.core.estimates.work_model import DEFAULT_WORK_MODEL, WorkModel
 from onyxspoke.core.jobs.crashes import CrashTally
 from onyxspoke.core.jobs.model import JobId, JobSpec, StepKey, StepSpec, TaskKey, WorkerId
 from onyxspoke.core.jobs.states import (
@@ -15,7 +15,7 @@
 )
 
 if TYPE_CHECKING:
-    from onyxspoke.core.estimates.evidence import StepEvidence
+    from onyxspoke.core.estimates.evidence import StepObservations
     from onyxspoke.core.placement.runs import Run
 
 _MILLISECONDS = 1_000.0
@@ -34,7 +34,7 @@
         Opaque text that the next run may resume from; empty if there is none.
     run : Run or None
         The current run of the task.
-    failed_on : WorkerId
+    last_failed_worker_id : WorkerId
         Worker of the latest failure, so that the next attempt prefers another worker.
     placed_on : WorkerId
         The worker that may have a run of the task, as this holder or a previous one recorded;
@@ -44,9 +44,9 @@
     __slots__ = (
         "checkpoint",
         "crashes",
-        "failed_on",
         "failed_runs",
         "index",
+        "last_failed_worker_id",
         "placed_on",
         "run",
         "state",
@@ -61,7 +61,7 @@
         self.crashes = CrashTally()
         self.checkpoint = ""
         self.run: Run | None = None
-        self.failed_on: WorkerId = ""
+        self.last_failed_worker_id: WorkerId = ""
         self.placed_on: WorkerId = ""
 
     @property
@@ -83,7 +83,7 @@
 
     Attributes
     ----------
-    needs : Needs
+    needs : ResourceVector
         The resources that one task reserves on its worker.
     waiting : dict of int to None
         Indexes of the waiting tasks, in order.
@@ -94,45 +94,45 @@
         seconds of the local clock.
     failed_gang_runs : list of int
         Numbers of the gang runs in which a member failed.
-    last_number : int
+    last_run_number : int
         Highest known run number of any task of the step.
     due_at : float
         When the job was accepted, or the repetition started, in seconds of the local clock.
-    chain_seconds : float
+    remaining_path_seconds : float
         Estimated duration of the longest path of dependent steps from this step to the job's end.
     over_quota_since : float or None
         Since when the tenant's exhausted quota has kept tasks from starting; ``None`` if it does
         not.
     over_quota_seconds : float
         Total duration of the earlier periods in which the quota kept tasks from starting.
-    crashed_at : float
+    last_crash_at : float
         When a worker last crashed shortly after only tasks of this job had started on it; 0 if
         none has.
-    done_before_crash : int
+    done_count_at_crash : int
         How many tasks were done at the time of that crash.
-    evidence : StepEvidence or None
+    evidence : StepObservations or None
         Measured durations of its tasks compared with their estimates.
-    begins_apart_until : float
+    next_trial_start_at : float
         Earliest time at which the next tasks may start while the step is on trial after a crash.
     """
 
     __slots__ = (
-        "begins_apart_until",
-        "chain_seconds",
-        "crashed_at",
-        "done_before_crash",
         "done_count",
+        "done_count_at_crash",
         "due_at",
         "evidence",
         "failed_gang_runs",
         "in_doubt",
         "job",
         "key",
-        "last_number",
+        "last_crash_at",
+        "last_run_number",
         "needs",
+        "next_trial_start_at",
         "over_quota_seconds",
         "over_quota_since",
         "ready_at",
+        "remaining_path_seconds",
         "spec",
         "tasks",
         "unfinished_dependencies",
@@ -140,11 +140,16 @@
     )
 
     def __init__(
-        self, job: JobProgress, key: StepKey, spec: StepSpec, chain_seconds: float, now: float
+        self,
+        job: JobProgress,
+        key: StepKey,
+        spec: StepSpec,
+        remaining_path_seconds: float,
+        now: float,
     ) -> None:
         self.job = job
         self.due_at = job.accepted_at if job.spec.schedule.count == 0 else now
-        self.chain_seconds = chain_seconds
+        self.remaining_path_seconds = remaining_path_seconds
         self.key = key
         self.spec = spec
         #: A cached copy of ``spec.needs``, which is computed at each use; placement reads it often.
@@ -156,13 +161,13 @@
         self.unfinished_dependencies = len(spec.depends_on)
         self.ready_at = now
         self.failed_gang_runs: list[int] = []
-        self.last_number = 0
+        self.last_run_number = 0
         self.over_quota_since: float | None = None
         self.over_quota_seconds = 0.0
-        self.crashed_at = 0.0
-        self.done_before_crash = 0
-        self.begins_apart_until = 0.0
-        self.evidence: StepEvidence | None = None
+        self.last_crash_at = 0.0
+        self.done_count_at_crash = 0
+        self.next_trial_start_at = 0.0
+        self.evidence: StepObservations | None = None
 
     @property
     def expected_seconds(self) -> float:
@@ -170,11 +175,11 @@
         return self.spec.estimated_ms / _MILLISECONDS * self.job.work.factor
 
     @property
-    def expected_chain_seconds(self) -> float:
+    def expected_remaining_path_seconds(self) -> float:
         """Expected duration of the longest path of dependent steps to the job's end."""
-        return self.chain_seconds * self.job.work.factor
+        return self.remaining_path_seconds * self.job.work.factor
 
-    def note_quota(self, is_over: bool, now: float) -> bool:
+    def set_over_quota(self, is_over: bool, now: float) -> bool:
         """Record whether the tenant's quota blocks the step; return whether a block has begun."""
         if is_over:
             is_new = self.over_quota_since is None
@@ -187,7 +192,7 @@
         return False
 
     @property
-    def most_on_a_worker(self) -> int:
+    def max_tasks_per_worker(self) -> int:
         """Maximum number of tasks of the step on one worker, regardless of free capacity."""
         return min(self.spec.spread_limit or len(self.tasks), len(self.tasks))
 
@@ -231,7 +236,7 @@
         State of the job in the store, which callers may see; ``None`` before the first commit.
     repetitions : dict of int to list of StepProgress
         Steps by repetition; for a scheduled job, only repetitions that are due and not done.
-    begun : bool
+    has_started : bool
         Whether a worker is known to have had a run of any task.
     accepted_at : float
         When the job was accepted, in seconds of the local clock.
@@ -243,10 +248,10 @@
 
     __slots__ = (
         "accepted_at",
-        "begun",
         "committed_state",
         "done_repetitions",
         "final_at",
+        "has_started",
         "objective_seconds",
         "repetitions",
         "spec",
@@ -256,14 +261,14 @@
         "work_dependent_seconds",
     )
 
-    def __init__(self, spec: JobSpec, now: float, work: WorkModel = UNLEARNED_WORK) -> None:
+    def __init__(self, spec: JobSpec, now: float, work: WorkModel = DEFAULT_WORK_MODEL) -> None:
         self.spec = spec
         self.work = work
         self.state = JobState.QUEUED
         self.committed_state: JobState | None = None
         self.repetitions: dict[int, list[StepProgress]] = {}
         self.done_repetitions: set[int] = set()
-        self.begun = False
+        self.has_started = False
         self.accepted_at = now
         self.objective_seconds = _objective_seconds(spec)
         #: The part of the objective that is proportional to the estimated work.
@@ -354,11 +359,11 @@
     return paths_ms
 
 
-def checkpoint_of(task: TaskProgress) -> str:
+def resume_checkpoint(task: TaskProgress) -> str:
     """Return the checkpoint that a start resumes from; empty for a start from the beginning."""
-    return checkpoint_holder(task).checkpoint if task.step.spec.checkpointing else ""
+    return task_with_checkpoint(task).checkpoint if task.step.spec.checkpointing else ""
 
 
-def checkpoint_holder(task: TaskProgress) -> TaskProgress:
+def task_with_checkpoint(task: TaskProgress) -> TaskProgress:
     """Return the task that stores the checkpoint; the first task stores it for a whole gang."""
     return task.step.tasks[0] if task.step.spec.gang else task
--- a/src/onyxspoke/core/jobs/amounts.py
+++ b/src/onyxspoke/core/jobs/resource_vectors.py
@@ -4,33 +4,35 @@
 
 import sys
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 
 #: Task count for tasks that need no resources; larger than the task count of any step.
 _UNBOUNDED = sys.maxsize
 
 
-def plus(first: Needs, second: Needs) -> Needs:
+def add_vectors(first: ResourceVector, second: ResourceVector) -> ResourceVector:
     """Return the sum of two resource vectors."""
-    return Needs(first[0] + second[0], first[1] + second[1], first[2] + second[2])
+    return ResourceVector(first[0] + second[0], first[1] + second[1], first[2] + second[2])
 
 
-def minus(first: Needs, second: Needs) -> Needs:
+def subtract_vectors(first: ResourceVector, second: ResourceVector) -> ResourceVector:
     """Return the difference of two resource vectors; components may be negative."""
-    return Needs(first[0] - second[0], first[1] - second[1], first[2] - second[2])
+    return ResourceVector(first[0] - second[0], first[1] - second[1], first[2] - second[2])
 
 
-def times(amount: Needs, count: int) -> Needs:
+def scale_vector(amount: ResourceVector, count: int) -> ResourceVector:
     """Return a resource vector multiplied by a count."""
-    return Needs(amount[0] * count, amount[1] * count, amount[2] * count)
+    return ResourceVector(amount[0] * count, amount[1] * count, amount[2] * count)
 
 
-def bounded(amount: Needs, bound: Needs) -> Needs:
+def elementwise_minimum(amount: ResourceVector, bound: ResourceVector) -> ResourceVector:
     """Return the smaller value of each resource in two resource vectors."""
-    return Needs(min(amount[0], bound[0]), min(amount[1], bound[1]), min(amount[2], bound[2]))
+    return ResourceVector(
+        min(amount[0], bound[0]), min(amount[1], bound[1]), min(amount[2], bound[2])
+    )
 
 
-def slots_within(free_capacity: Needs, needs: Needs) -> int:
+def count_fitting_tasks(free_capacity: ResourceVector, needs: ResourceVector) -> int:
     """Return how many tasks with these needs fit; 0 if any resource is overcommitted."""
     if min(free_capacity) < 0:
         return 0
