--- a/features/steps/estimates_steps.py
+++ b/features/steps/estimates_steps.py
@@ -408,9 +408,9 @@
     for number in range(tenants):
         work = shop.durations.work_of(f"queue-{number % queues}", f"tenant-{number}")
         for _ in range(60):
-            shop.durations._note_work(work, source.gauss(0.0, 2.0), 3.0, shop.now)
+            shop.durations._observe_work(work, source.gauss(0.0, 2.0), 3.0, shop.now)
     for worker in shop.workers.values():
-        worker.speed.note(source.gauss(0.0, 1.0), 5.0, shop.now)
+        worker.speed.add_sample(source.gauss(0.0, 1.0), 5.0, shop.now)
     shop.now += 1.0
     shop.keep()
 
--- a/src/onyxspoke/core/estimates/__init__.py
+++ b/src/onyxspoke/core/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""How long work takes: callers' estimates, corrected by what was seen."""
+"""Expected task durations: callers' estimates, corrected by observed durations."""
--- a/src/onyxspoke/core/estimates/durations.py
+++ b/src/onyxspoke/core/estimates/durations.py
@@ -1,4 +1,4 @@
-"""How long tasks take, by queue, tenant and worker: learned from ends and from progress."""
+"""Estimates task durations by queue, tenant and worker from the ends and progress of runs."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from onyxspoke.core.estimates.evidence import (
     FIRST_PERCENT,
-    PROGRESS_SHARE,
+    PROGRESS_WEIGHT,
     RESOLUTION_SECONDS,
     Observation,
     RunEvidence,
     StepEvidence,
-    baseline_of,
-    compare,
     estimated_seconds,
-    gang_tells_nothing,
-    is_end_certain,
+    find_baseline,
+    is_end_time_known,
+    is_gang_uninformative,
+    is_uninformative,
     log_ratio,
     projected_seconds,
     slowest_member,
-    tells_nothing,
+    work_baseline,
 )
 from onyxspoke.core.estimates.expected import Expected
-from onyxspoke.core.estimates.speeds import Speeds, WorkerSpeed
+from onyxspoke.core.estimates.speeds import WorkerSpeed, WorkerSpeeds
 from onyxspoke.core.estimates.work import UNLEARNED_WORK, WorkModel
 from onyxspoke.core.jobs.states import RunEnd
 
@@ -31,102 +31,106 @@
     from onyxspoke.core.jobs.progress import StepProgress
     from onyxspoke.core.placement.runs import GangRun, Run
 
-#: Factors are worked out anew so often, in seconds.
+#: Interval between two recomputations of the factors, in seconds.
 REFRESH_SECONDS = 0.5
-#: Queues, and tenants in queues, of which something is kept at most; some 1,000 bytes each.
+#: Maximum numbers of queue models and tenant models; each takes about 1,000 bytes.
 MAXIMUM_QUEUES = 64
 MAXIMUM_TENANTS = 256
-#: What nothing was seen of for so long, in seconds, is dropped.
-FORGET_SECONDS = 3_600.0
+#: A model without new observations for this long, in seconds, is dropped.
+RETENTION_SECONDS = 3_600.0
 _MILLISECONDS = 1_000.0
 
 
 class Durations:
-    """Expects how long tasks take.
+    """Estimates how long tasks take.
 
     Parameters
     ----------
     is_learning : bool
-        Whether anything is learned; if not, callers' estimates are taken as they are.
+        Whether observed durations correct the callers' estimates; if not, the estimates are used
+        unchanged.
     """
 
     def __init__(self, is_learning: bool = True) -> None:
         self._is_learning = is_learning
         self.queues: dict[str, WorkModel] = {}
         self.tenants: dict[tuple[str, str], WorkModel] = {}
-        self.speeds = Speeds()
-        #: Since when the holder has been at work without a pause, in its seconds.
+        self.speeds = WorkerSpeeds()
+        #: Time on the holder's clock, in seconds, since which it has run without a pause.
         self.watched_since = -math.inf
-        #: Whether something was seen since the last record of it.
+        #: Whether runs were observed since the estimates were last recorded.
         self.has_news = False
         self._refresh_at = 0.0
 
-    # What is expected
+    # Expected durations
 
     def expected(
         self, queue: str, tenant: str, estimated_ms: float, worker_id: str = ""
     ) -> Expected:
-        """Return how long a task takes on a worker; on one of usual speed where none is named."""
+        """Return a task's expected duration on a worker; without one, at usual speed."""
         seconds = estimated_ms / _MILLISECONDS
         work = self.tenants.get((queue, tenant)) or self.queues.get(queue)
         if not self._is_learning or work is None:
             return self._on_worker(seconds, seconds, 0.0, worker_id)
         evidence = work.evidence(self._refresh_at) if work.is_known else 0.0
-        upper = seconds * work.upper_factor
-        return self._on_worker(seconds * work.factor, upper, evidence, worker_id)
+        upper_seconds = seconds * work.upper_factor
+        return self._on_worker(seconds * work.factor, upper_seconds, evidence, worker_id)
 
-    def _on_worker(self, median: float, upper: float, evidence: float, worker_id: str) -> Expected:
+    def _on_worker(
+        self, median_seconds: float, upper_seconds: float, evidence: float, worker_id: str
+    ) -> Expected:
         factor = self.speeds.factor_of(worker_id) if worker_id else 1.0
-        return Expected(median * factor, upper * factor, evidence)
+        return Expected(median_seconds * factor, upper_seconds * factor, evidence)
 
     def work_of(self, queue: str, tenant: str) -> WorkModel:
-        """Return the model that jobs of a queue and tenant share.
+        """Return the model that all jobs of a queue and tenant share.
 
-        It is the queue's where there is no more room for the tenant's.
+        The queue's model is returned when the maximum number of tenant models is reached.
         """
         if not self._is_learning:
             return UNLEARNED_WORK
-        return self.find_or_add(queue, tenant) or self.queues.get(queue, UNLEARNED_WORK)
+        return self.find_or_create(queue, tenant) or self.queues.get(queue, UNLEARNED_WORK)
 
-    def find_or_add(self, queue: str, tenant: str) -> WorkModel | None:
-        """Return the model of exactly this work, or ``None`` if there is no room for it."""
-        of_queue = self.queues.get(queue)
-        if of_queue is None:
+    def find_or_create(self, queue: str, tenant: str) -> WorkModel | None:
+        """Return the model of this queue and tenant; ``None`` if the maximum number is reached."""
+        queue_model = self.queues.get(queue)
+        if queue_model is None:
             if len(self.queues) >= MAXIMUM_QUEUES:
                 return None
-            of_queue = self.queues[queue] = WorkModel(queue)
+            queue_model = self.queues[queue] = WorkModel(queue)
         if not tenant:
-            return of_queue
-        of_tenant = self.tenants.get((queue, tenant))
-        if of_tenant is None and len(self.tenants) < MAXIMUM_TENANTS:
-            of_tenant = self.tenants[queue, tenant] = WorkModel(queue, tenant, of_queue)
-        return of_tenant
+            return queue_model
+        tenant_model = self.tenants.get((queue, tenant))
+        if tenant_model is None and len(self.tenants) < MAXIMUM_TENANTS:
+            tenant_model = self.tenants[queue, tenant] = WorkModel(queue, tenant, queue_model)
+        return tenant_model
 
-    # Lives of workers
+    # Incarnations of workers
 
     def begin_life(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
-        """Return what is known of a life of a worker that begins, or is first heard of."""
+        """Return the speed of an incarnation that has started or is listed for the first time."""
         if not self._is_learning:
             return WorkerSpeed(worker_id, born_ms, kind)
         return self.speeds.begin_life(worker_id, born_ms, kind, now)
 
     def forget_worker(self, worker_id: str) -> None:
-        """Drop what is known of a worker that is gone."""
+        """Drop the speed of a worker that has left the cell."""
         self.speeds.forget(worker_id)
 
-    # What was seen
+    # Observations
 
     def note_progress(self, run: Run, now: float) -> None:
-        """A worker reports how far a run is."""
+        """Learn from the progress of a run that its worker reports."""
         if not self._is_learning or run.percent < FIRST_PERCENT or run.gang is not None:
             return
-        if tells_nothing(run, self.watched_since):
+        if is_uninformative(run, self.watched_since):
             return
         if run.evidence is not None:
-            change = run.evidence.take_change(run.percent, now)
+            change = run.evidence.update_pace(run.percent, now)
             if change is not None:
-                # Tasks keep their pace, so it is the worker that has changed.
-                run.worker.speed.note_change(run.evidence.speed_log + change, now)
+                # A task's own pace is constant, so a change of pace is a change of the worker's
+                # speed.
+                run.worker.speed.add_pace_change(run.evidence.assumed_speed_log + change, now)
                 self.has_news = True
             return
         seconds = projected_seconds(run, now)
@@ -134,98 +138,98 @@
         if ratio is None or now - run.confirmed_at <= RESOLUTION_SECONDS:
             return
         run.evidence = RunEvidence(seconds, run.percent, now, run.worker.speed.log)
-        self._take(run, ratio, PROGRESS_SHARE, now)
+        self._attribute_ratio(run, ratio, PROGRESS_WEIGHT, now)
 
     def note_end(self, run: Run, end: RunEnd, now: float) -> None:
-        """A worker lists the end of a run."""
-        if not self._is_learning or end is not RunEnd.DONE or not is_end_certain(run, now):
+        """Learn from the end of a run that its worker lists."""
+        if not self._is_learning or end is not RunEnd.DONE or not is_end_time_known(run, now):
             return
         if run.gang is not None:
-            self._note_gang_end(run.gang, now)
+            self._observe_gang_end(run.gang, now)
             return
-        if tells_nothing(run, self.watched_since):
+        if is_uninformative(run, self.watched_since):
             return
         ratio = log_ratio(now - run.confirmed_at, estimated_seconds(run))
         if ratio is not None:
-            share = 1.0 if run.evidence is None else 1.0 - PROGRESS_SHARE
-            self._take(run, ratio, share, now)
+            share = 1.0 if run.evidence is None else 1.0 - PROGRESS_WEIGHT
+            self._attribute_ratio(run, ratio, share, now)
 
-    def _take(self, run: Run, ratio: float, share: float, now: float) -> None:
-        """Divide what a run told between its job's work and its worker."""
+    def _attribute_ratio(self, run: Run, ratio: float, share: float, now: float) -> None:
+        """Use a run's observed ratio for both its work model and its worker's speed."""
         step = run.task.step
         if step.evidence is None:
             step.evidence = StepEvidence()
         speed = run.worker.speed
-        usual = ratio - speed.log
-        step.evidence.note(Observation(run.task.index, speed, ratio, share))
-        self._compare_waiting(step, step.evidence, now)
-        # A job counts once, however many tasks it has: they share its caller's error.
+        usual_log = ratio - speed.log
+        step.evidence.add_sample(Observation(run.task.index, speed, ratio, share))
+        self._compare_pending(step, step.evidence, now)
+        # A job's tasks share the error of its caller's estimate, so the whole job weighs as one.
         tasks = len(step.tasks) * len(step.job.spec.steps)
-        self._note_work(step.job.work, usual, share / tasks, now)
-
-    def _compare_waiting(self, step: StepProgress, evidence: StepEvidence, now: float) -> None:
-        """Tell workers by what their runs took beside others' of the same step."""
-        waiting, evidence.waiting = evidence.waiting, []
-        for seen in waiting:
-            speed = seen.speed
-            base = compare(step, evidence, speed.worker_id)
-            if base is None:
-                evidence.waiting.append(seen)
+        self._observe_work(step.job.work, usual_log, share / tasks, now)
+
+    def _compare_pending(self, step: StepProgress, evidence: StepEvidence, now: float) -> None:
+        """Update workers' speeds by comparing their runs with other runs of the same step."""
+        pending, evidence.pending = evidence.pending, []
+        for observation in pending:
+            speed = observation.speed
+            baseline = find_baseline(step, evidence, speed.worker_id)
+            if baseline is None:
+                evidence.pending.append(observation)
                 continue
-            alike = evidence.count_on(speed.worker_id, seen.task_index)
-            weight = seen.share * base.sureness / (1.0 + alike)
-            speed.note(seen.log_ratio - base.log_ratio, weight, now)
+            others_on_worker = evidence.count_others_on(speed.worker_id, observation.task_index)
+            weight = observation.share * baseline.confidence / (1.0 + others_on_worker)
+            speed.add_sample(observation.log_ratio - baseline.log_ratio, weight, now)
 
-    def _note_gang_end(self, gang: GangRun, now: float) -> None:
-        """All members end with the slowest, so that a gang tells one thing."""
+    def _observe_gang_end(self, gang: GangRun, now: float) -> None:
+        """Learn once from a gang's duration, because all members end together with the slowest."""
         if gang.is_duration_recorded:
             return
         gang.is_duration_recorded = True
-        if gang_tells_nothing(gang, self.watched_since):
+        if is_gang_uninformative(gang, self.watched_since):
             return
-        began = max(member.confirmed_at for member in gang.members)
-        seconds = now - began
+        started_at = max(member.confirmed_at for member in gang.members)
+        seconds = now - started_at
         ratio = log_ratio(seconds, estimated_seconds(gang.members[0]))
         if ratio is None:
             return
         job = gang.step.job
         slowest = slowest_member(gang, seconds, now)
-        base = baseline_of(job.work)
-        if slowest is not None and base is not None:
-            slowest.worker.speed.note(ratio - base.log_ratio, base.sureness, now)
+        baseline = work_baseline(job.work)
+        if slowest is not None and baseline is not None:
+            slowest.worker.speed.add_sample(ratio - baseline.log_ratio, baseline.confidence, now)
         slowest_log = max(member.worker.speed.log for member in gang.members)
-        self._note_work(job.work, ratio - slowest_log, 1.0 / len(job.spec.steps), now)
+        self._observe_work(job.work, ratio - slowest_log, 1.0 / len(job.spec.steps), now)
 
-    def _note_work(self, work: WorkModel, usual: float, weight: float, now: float) -> None:
+    def _observe_work(self, work: WorkModel, usual_log: float, weight: float, now: float) -> None:
         self.has_news = True
         if work is not UNLEARNED_WORK:
-            work.note(usual, weight, now)
+            work.add_sample(usual_log, weight, now)
 
-    # Time
+    # Periodic work
 
     def keep(self, now: float) -> bool:
-        """Work the factors out anew if that is due; return whether it was."""
+        """Recompute the factors if the interval has passed; return whether they were recomputed."""
         if not self._is_learning or now < self._refresh_at:
             return False
         self._refresh_at = now + REFRESH_SECONDS
-        self.refresh_works(now)
+        self.refresh_work_models(now)
         self.speeds.refresh(now)
-        self._forget_unseen(now)
+        self._drop_stale_models(now)
         return True
 
-    def refresh_works(self, now: float) -> None:
-        """Work the factors of queues out anew, and then those of tenants, which may follow them."""
-        for of_queue in self.queues.values():
-            of_queue.refresh(now)
-        for of_tenant in self.tenants.values():
-            of_tenant.refresh(now)
+    def refresh_work_models(self, now: float) -> None:
+        """Recompute queue factors first, because tenants may inherit them."""
+        for queue_model in self.queues.values():
+            queue_model.refresh(now)
+        for tenant_model in self.tenants.values():
+            tenant_model.refresh(now)
 
-    def _forget_unseen(self, now: float) -> None:
-        horizon = now - FORGET_SECONDS
+    def _drop_stale_models(self, now: float) -> None:
+        horizon = now - RETENTION_SECONDS
         for key in [key for key, work in self.tenants.items() if work.seen_at < horizon]:
             del self.tenants[key]
-        # A tenant's work tells of its queue as well, which stays for as long.
-        followed = {queue for queue, _tenant in self.tenants}
+        # A tenant's model also updates its queue's model, so the queue's model is kept as long.
+        queues_with_tenants = {queue for queue, _tenant in self.tenants}
         for name in [name for name, work in self.queues.items() if work.seen_at < horizon]:
-            if name not in followed:
+            if name not in queues_with_tenants:
                 del self.queues[name]
--- a/src/onyxspoke/core/estimates/evidence.py
+++ b/src/onyxspoke/core/estimates/evidence.py
@@ -1,4 +1,4 @@
-"""What an end of a run, or a report of its progress, tells; and what tells nothing."""
+"""Observations of durations from ends and progress of runs, and which runs are excluded."""
 
 from __future__ import annotations
 
@@ -14,76 +14,78 @@
     from onyxspoke.core.jobs.progress import StepProgress
     from onyxspoke.core.placement.runs import GangRun, Run
 
-#: Ends are listed some tens of milliseconds late: a difference of so many seconds is none.
+#: Workers list ends tens of milliseconds late, so a smaller difference, in seconds, is ignored.
 RESOLUTION_SECONDS = 0.1
-#: An estimate that is off by more than this factor is no estimate.
-ABSURD_FACTOR = 20.0
-#: Progress tells from here on, in percent, because it is told in whole ones; ...
+#: An estimate that is wrong by more than this factor is ignored.
+MAXIMUM_ERROR_FACTOR = 20.0
+#: Progress below this percentage is ignored, because workers report it in whole percent.
 FIRST_PERCENT = 20
-#: ... then again after so many more.
-SEGMENT_PERCENT = 10
-#: What progress tells of a run counts so much of it, and its end the rest.
-PROGRESS_SHARE = 0.5
-#: A run's pace that changed by less than this logarithm has not changed.
-CHANGE_LOG = 0.4
-#: A run whose pace changes this often is uneven by itself.
-MAXIMUM_CHANGES = 4
-#: Tasks of one step that are compared with each other.
+#: Percentage points between two checks of a run's pace.
+PROGRESS_STEP_PERCENT = 10
+#: Weight of an observation from a run's progress; the run's end has the rest of 1.
+PROGRESS_WEIGHT = 0.5
+#: A smaller change of a run's pace, as a natural logarithm, is ignored.
+MINIMUM_CHANGE_LOG = 0.4
+#: Further pace changes of a run are ignored, because the run itself is uneven.
+MAXIMUM_PACE_CHANGES = 4
+#: Maximum number of tasks of one step that are compared with each other.
 MAXIMUM_SIBLINGS = 64
-#: A run is compared with its siblings elsewhere once there are so many, ...
-LEAST_SIBLINGS = 2
-#: ... and else with its queue, which counts half where usual work is spread so far, as a logarithm.
-SURE_SPREAD_LOG = 0.15
-#: A worker whose list of runs is older, in seconds, was out of reach: when runs ended is not known.
-LONGEST_LOOK_SECONDS = 1.5
-#: A gang's slowest member is told by its progress where all others were done a share of its time
-#: before.
-GANG_BEHIND_SHARE = 0.2
+#: Tasks of the step on other workers that are needed as a baseline for a run.
+MINIMUM_SIBLINGS = 2
+#: Spread of a work model, as a natural logarithm, at which its baseline has a confidence of 0.5.
+HALF_CONFIDENCE_SPREAD_LOG = 0.15
+#: With an older list of runs, in seconds, the worker was unreachable and ends have no known time.
+MAXIMUM_LIST_AGE_SECONDS = 1.5
+#: The slowest member of a gang is identified only if all others reached 100 percent earlier by at
+#: least this share of the gang's duration.
+MINIMUM_GANG_LAG_SHARE = 0.2
 _MILLISECONDS = 1_000.0
 _FULL_PERCENT = 100
-#: A whole percentage stands for what lies between it and the next.
+#: Progress is rounded down to whole percent, so half a percent is added on average.
 _HALF_PERCENT = 0.5
 
 
 class RunEvidence:
-    """How a run went so far: its pace, and where it was at the last look."""
+    """The pace of a run and its progress at the last observation."""
 
-    __slots__ = ("_changes", "at", "percent", "speed_log", "whole_seconds")
+    __slots__ = ("_pace_changes", "assumed_speed_log", "observed_at", "percent", "total_seconds")
 
-    def __init__(self, whole_seconds: float, percent: int, at: float, speed_log: float) -> None:
-        self.whole_seconds = whole_seconds
+    def __init__(
+        self, total_seconds: float, percent: int, observed_at: float, assumed_speed_log: float
+    ) -> None:
+        self.total_seconds = total_seconds
         self.percent = percent
-        self.at = at
-        self._changes = 0
-        #: What was known of the worker when the pace was.
-        self.speed_log = speed_log
-
-    def take_change(self, percent: int, now: float) -> float | None:
-        """Return by what the pace has changed since, as a logarithm; ``None`` if it has not."""
-        gained = percent - self.percent
-        if gained < SEGMENT_PERCENT:
+        self.observed_at = observed_at
+        self._pace_changes = 0
+        #: Logarithm of the worker's speed factor when the run's pace was first observed.
+        self.assumed_speed_log = assumed_speed_log
+
+    def update_pace(self, percent: int, now: float) -> float | None:
+        """Return the change from the first pace, as a logarithm; ``None`` if not significant."""
+        gained_percent = percent - self.percent
+        if gained_percent < PROGRESS_STEP_PERCENT:
             return None
-        seconds = now - self.at
-        usual = self.whole_seconds * gained / _FULL_PERCENT
-        self.percent, self.at = percent, now
-        if seconds <= 0.0 or abs(seconds - usual) <= RESOLUTION_SECONDS:
+        seconds = now - self.observed_at
+        expected_seconds = self.total_seconds * gained_percent / _FULL_PERCENT
+        self.percent, self.observed_at = percent, now
+        if seconds <= 0.0 or abs(seconds - expected_seconds) <= RESOLUTION_SECONDS:
             return None
-        change = math.log(seconds / usual)
-        if abs(change) <= CHANGE_LOG or self._changes >= MAXIMUM_CHANGES:
+        change_log = math.log(seconds / expected_seconds)
+        if abs(change_log) <= MINIMUM_CHANGE_LOG or self._pace_changes >= MAXIMUM_PACE_CHANGES:
             return None
-        self._changes += 1
-        return change
+        self._pace_changes += 1
+        return change_log
 
 
 class Baseline(NamedTuple):
-    """What a run is compared with, as a logarithm, and how sure that is, up to 1."""
+    """The logarithm that a run's ratio is compared with, and its confidence from 0 to 1."""
 
     log_ratio: float
-    sureness: float
+    confidence: float
 
 
 class Observation(NamedTuple):
-    """What one run told: log(actual / estimated), and for how much of the run it stands."""
+    """log(actual / estimated) of one run, and the share of the run's weight that it has."""
 
     task_index: int
     speed: WorkerSpeed
@@ -92,58 +94,64 @@
 
 
 class StepEvidence:
-    """How the tasks of one step compared with their estimate, less their workers' speeds.
+    """log(actual / estimated) of one step's tasks, corrected for their workers' speeds.
 
     Attributes
     ----------
-    waiting : list of Observation
-        Of workers, until there is enough to compare them with.
+    pending : list of Observation
+        Observations that still lack a baseline for their workers.
     """
 
-    __slots__ = ("_by_task", "waiting")
+    __slots__ = ("_ratios_by_task", "pending")
 
     def __init__(self) -> None:
-        self._by_task: dict[int, tuple[str, float]] = {}
-        self.waiting: list[Observation] = []
-
-    def note(self, seen: Observation) -> None:
-        """Remember how a task went; what came later replaces what came before."""
-        if seen.task_index in self._by_task or len(self._by_task) < MAXIMUM_SIBLINGS:
-            usual = seen.log_ratio - seen.speed.log
-            self._by_task[seen.task_index] = (seen.speed.worker_id, usual)
-        if len(self.waiting) < MAXIMUM_SIBLINGS:
-            self.waiting.append(seen)
+        self._ratios_by_task: dict[int, tuple[str, float]] = {}
+        self.pending: list[Observation] = []
+
+    def add_sample(self, observation: Observation) -> None:
+        """Store a task's observation; a later observation of the task replaces an earlier one."""
+        if (
+            observation.task_index in self._ratios_by_task
+            or len(self._ratios_by_task) < MAXIMUM_SIBLINGS
+        ):
+            corrected_log = observation.log_ratio - observation.speed.log
+            self._ratios_by_task[observation.task_index] = (
+                observation.speed.worker_id,
+                corrected_log,
+            )
+        if len(self.pending) < MAXIMUM_SIBLINGS:
+            self.pending.append(observation)
 
     @property
-    def count(self) -> int:
-        """How many tasks it knows."""
-        return len(self._by_task)
+    def task_count(self) -> int:
+        """The number of tasks with an observation."""
+        return len(self._ratios_by_task)
 
-    def others(self, worker_id: str) -> list[float]:
-        """Return how tasks on other workers went."""
-        return [ratio for name, ratio in self._by_task.values() if name != worker_id]
+    def other_ratios(self, worker_id: str) -> list[float]:
+        """Return the corrected ratios of tasks on other workers."""
+        return [ratio for name, ratio in self._ratios_by_task.values() if name != worker_id]
 
-    def count_on(self, worker_id: str, task_index: int) -> int:
-        """Return how many other tasks are known that ran on a worker."""
+    def count_others_on(self, worker_id: str, task_index: int) -> int:
+        """Return how many other observed tasks ran on a worker."""
         return sum(
             1
-            for index, (name, _ratio) in self._by_task.items()
+            for index, (name, _ratio) in self._ratios_by_task.items()
             if name == worker_id and index != task_index
         )
 
 
 def estimated_seconds(run: Run) -> float:
-    """Return the caller's estimate."""
+    """Return the caller's estimate of the run's duration in seconds."""
     return run.task.step.spec.estimated_ms / _MILLISECONDS
 
 
-def tells_nothing(run: Run, watched_since: float) -> bool:
-    """Return whether a run's times say nothing of its estimate or its worker.
+def is_uninformative(run: Run, watched_since: float) -> bool:
+    """Return whether a run's duration must not be used for its work model or its worker.
 
     Parameters
     ----------
     watched_since : float
-        Since when this holder has been at work without a pause.
+        Time in seconds since which this holder has run without a pause.
     """
     spec = run.task.step.spec
     return (
@@ -157,74 +165,78 @@
         or run.confirmed_at < watched_since
         or run.pace_percent != _FULL_PERCENT
         or run.ordered_pace_percent != _FULL_PERCENT
-        or _is_far(run)
+        or _is_outside_preferred_rack(run)
     )
 
 
-def gang_tells_nothing(gang: GangRun, watched_since: float) -> bool:
-    """Return whether a gang's time says nothing: it was broken, or data or members were far."""
+def is_gang_uninformative(gang: GangRun, watched_since: float) -> bool:
+    """Return whether a gang is broken, incomplete, split over racks or has an excluded run."""
     members = gang.members
     if gang.is_broken or len(members) < len(gang.step.tasks):
         return True
     racks = {member.worker.record.rack for member in members}
     if gang.step.spec.same_rack and len(racks) > 1:
         return True
-    return any(tells_nothing(member, watched_since) for member in members)
+    return any(is_uninformative(member, watched_since) for member in members)
 
 
-def _is_far(run: Run) -> bool:
+def _is_outside_preferred_rack(run: Run) -> bool:
     rack = run.task.step.spec.preferred_rack
     return bool(rack) and run.worker.record.rack != rack
 
 
-def is_end_certain(run: Run, now: float) -> bool:
-    """Return whether the run surely ended just now, and not while its worker was out of reach."""
-    return now - max(run.confirmed_at, run.listed_at) <= LONGEST_LOOK_SECONDS
+def is_end_time_known(run: Run, now: float) -> bool:
+    """Return whether the run ended just now, and not earlier while its worker was unreachable."""
+    return now - max(run.confirmed_at, run.listed_at) <= MAXIMUM_LIST_AGE_SECONDS
 
 
 def projected_seconds(run: Run, now: float) -> float:
-    """Return how long a run would take in all at the pace that it has shown."""
+    """Return a run's total duration in seconds at its average pace so far."""
     return (now - run.confirmed_at) / (run.percent + _HALF_PERCENT) * _FULL_PERCENT
 
 
 def log_ratio(seconds: float, estimate: float) -> float | None:
-    """Return log(actual / estimated); 0 within the resolution, ``None`` where it is absurd."""
+    """Return log(actual / estimated); 0 within the resolution, ``None`` if out of range."""
     if seconds <= 0.0:
         return None
     if abs(seconds - estimate) <= RESOLUTION_SECONDS:
         return 0.0
     ratio = math.log(seconds / estimate)
-    return ratio if abs(ratio) <= math.log(ABSURD_FACTOR) else None
+    return ratio if abs(ratio) <= math.log(MAXIMUM_ERROR_FACTOR) else None
 
 
-def compare(step: StepProgress, evidence: StepEvidence, worker_id: str) -> Baseline | None:
-    """Return what to compare a run on a worker with; ``None`` if there is not enough yet.
+def find_baseline(step: StepProgress, evidence: StepEvidence, worker_id: str) -> Baseline | None:
+    """Return the baseline for a run on a worker; ``None`` if there are too few observations.
 
-    Siblings elsewhere share the job's own length, so that they tell more than the queue, which is
-    taken only once no more of them can come.
+    Tasks of the same step on other workers share the job's estimation error, so they are a better
+    baseline than the queue. The queue is used only after all tasks of the step are observed.
     """
-    others = evidence.others(worker_id)
-    if len(others) >= LEAST_SIBLINGS:
-        return Baseline(median(others), 1.0)
-    if evidence.count < len(step.tasks):
+    other_ratios = evidence.other_ratios(worker_id)
+    if len(other_ratios) >= MINIMUM_SIBLINGS:
+        return Baseline(median(other_ratios), 1.0)
+    if evidence.task_count < len(step.tasks):
         return None
-    return baseline_of(step.job.work)
+    return work_baseline(step.job.work)
 
 
-def baseline_of(work: WorkModel) -> Baseline | None:
-    """Return what is usual in a queue, or for its tenant; ``None`` if too little is known."""
+def work_baseline(work: WorkModel) -> Baseline | None:
+    """Return the baseline of a work model; ``None`` if the model has too few observations."""
     if not work.is_known:
         return None
-    doubt = (work.spread_log / SURE_SPREAD_LOG) ** 2
-    return Baseline(math.log(work.factor), 1.0 / (1.0 + doubt))
+    relative_variance = (work.spread_log / HALF_CONFIDENCE_SPREAD_LOG) ** 2
+    return Baseline(math.log(work.factor), 1.0 / (1.0 + relative_variance))
 
 
 def slowest_member(gang: GangRun, seconds: float, now: float) -> Run | None:
-    """Return the member for which all others have clearly waited, if there is one."""
+    """Return the gang member for which all other members waited; ``None`` if there is none."""
     if any(member.state not in (RunState.RUNNING, RunState.ENDED) for member in gang.members):
         return None
-    slowest, *others = sorted(gang.members, key=lambda member: member.percent)
-    if not others or others[0].percent < _FULL_PERCENT or slowest.percent == _FULL_PERCENT:
+    slowest, *other_members = sorted(gang.members, key=lambda member: member.percent)
+    if (
+        not other_members
+        or other_members[0].percent < _FULL_PERCENT
+        or slowest.percent == _FULL_PERCENT
+    ):
         return None
-    others_done_at = max(member.progressed_at for member in others)
-    return slowest if now - others_done_at >= GANG_BEHIND_SHARE * seconds else None
+    others_done_at = max(member.progressed_at for member in other_members)
+    return slowest if now - others_done_at >= MINIMUM_GANG_LAG_SHARE * seconds else None
--- a/src/onyxspoke/core/estimates/expected.py
+++ b/src/onyxspoke/core/estimates/expected.py
@@ -1,4 +1,4 @@
-"""How long a task is expected to take."""
+"""The expected duration of a task."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Expected(NamedTuple):
-    """Seconds that a task takes: the median, an upper quantile, and how many runs told them.
+    """Median and upper quantile of a task's duration, and the number of jobs behind them.
 
-    Without evidence both are the caller's estimate.
+    With an evidence of 0, both durations are the caller's estimate.
     """
 
     median_seconds: float
--- a/src/onyxspoke/core/estimates/record.py
+++ b/src/onyxspoke/core/estimates/record.py
@@ -1,6 +1,6 @@
-"""What is known of estimates and workers as one compact record, for a successor.
+"""Encodes the learned durations and worker speeds as one record for the shard's next holder.
 
-It may be lost: then a successor learns anew, and takes callers' estimates as they are meanwhile.
+If the record is lost, the next holder starts with the callers' estimates and learns again.
 """
 
 from __future__ import annotations
@@ -11,31 +11,31 @@
 from msgspec import Meta
 
 from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.sketch import LARGEST_WEIGHT, REACH
-from onyxspoke.core.estimates.speeds import LARGEST_EVIDENCE, KeptSpeed, WorkerSpeed
+from onyxspoke.core.estimates.sketch import BUCKETS_PER_SIDE, MAXIMUM_WEIGHT
+from onyxspoke.core.estimates.speeds import MAXIMUM_EVIDENCE, RestoredSpeed, WorkerSpeed
 from onyxspoke.core.estimates.work import WorkModel
 
 RECORD_VERSION = 1
-#: Bytes of the record at most: so many of queues and tenants, ...
+#: Maximum size of the work entries in the record.
 MAXIMUM_WORK_BYTES = 6_000
-#: ... so many of workers, ...
+#: Maximum size of the speed entries in the record.
 MAXIMUM_SPEED_BYTES = 6_000
-#: ... and of what stands around them.
-_FRAME_BYTES = 16
-MAXIMUM_RECORD_BYTES = MAXIMUM_WORK_BYTES + MAXIMUM_SPEED_BYTES + _FRAME_BYTES
-#: Weights are written in hundredths, logarithms in thousandths.
+#: Maximum size of the version and the headers of both lists.
+_ENVELOPE_BYTES = 16
+MAXIMUM_RECORD_BYTES = MAXIMUM_WORK_BYTES + MAXIMUM_SPEED_BYTES + _ENVELOPE_BYTES
+#: Weights are encoded in hundredths, logarithms in thousandths.
 _WEIGHT_UNIT = 100.0
 _LOG_UNIT = 1_000.0
-_LARGEST_LOG = 10_000
+_MAXIMUM_LOG = 10_000
 
-Bucket = Annotated[int, Meta(ge=-REACH, le=REACH)]
-Weight = Annotated[int, Meta(gt=0, le=int(LARGEST_WEIGHT * _WEIGHT_UNIT) + 1)]
-LogValue = Annotated[int, Meta(ge=-_LARGEST_LOG, le=_LARGEST_LOG)]
-Evidence = Annotated[int, Meta(ge=0, le=int(LARGEST_EVIDENCE * _WEIGHT_UNIT) + 1)]
+Bucket = Annotated[int, Meta(ge=-BUCKETS_PER_SIDE, le=BUCKETS_PER_SIDE)]
+Weight = Annotated[int, Meta(gt=0, le=int(MAXIMUM_WEIGHT * _WEIGHT_UNIT) + 1)]
+LogValue = Annotated[int, Meta(ge=-_MAXIMUM_LOG, le=_MAXIMUM_LOG)]
+Evidence = Annotated[int, Meta(ge=0, le=int(MAXIMUM_EVIDENCE * _WEIGHT_UNIT) + 1)]
 
 
 class WorkEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What was seen of a queue, or of a tenant's work in it: weights by bucket."""
+    """The histogram of a queue, or of a tenant in a queue: weights by bucket."""
 
     queue: str
     tenant: str
@@ -43,7 +43,7 @@
 
 
 class SpeedEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What was seen of one life of a worker."""
+    """The learned speed of one incarnation of a worker."""
 
     worker_id: str
     born_ms: int
@@ -52,7 +52,7 @@
 
 
 class EstimatesRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The whole record."""
+    """The learned durations of a shard as they are stored in its log."""
 
     version: int
     works: list[WorkEntry]
@@ -60,7 +60,7 @@
 
 
 class EstimatesRecordError(Exception):
-    """The record is damaged, or of another version."""
+    """The record is damaged or has another version."""
 
 
 _Entry = TypeVar("_Entry", WorkEntry, SpeedEntry)
@@ -69,7 +69,7 @@
 
 
 def encode_estimates(durations: Durations, now: float) -> bytes:
-    """Return the record; where it would be too long, what rests on most evidence stands in it."""
+    """Return the encoded record; if it is too large, entries with least evidence are dropped."""
     works = sorted(
         [*durations.queues.values(), *durations.tenants.values()],
         key=lambda work: (-work.sketch.weight(now), work.queue, work.tenant),
@@ -82,14 +82,14 @@
     speed_entries = [_speed_entry(speed, now) for speed in speeds]
     record = EstimatesRecord(
         RECORD_VERSION,
-        _within([entry for entry in work_entries if entry.weights], MAXIMUM_WORK_BYTES),
-        _within([entry for entry in speed_entries if entry.evidence], MAXIMUM_SPEED_BYTES),
+        _take_within([entry for entry in work_entries if entry.weights], MAXIMUM_WORK_BYTES),
+        _take_within([entry for entry in speed_entries if entry.evidence], MAXIMUM_SPEED_BYTES),
     )
     return _encoder.encode(record)
 
 
 def restore_estimates(durations: Durations, data: bytes, now: float) -> None:
-    """Take over what a former holder knew; raise :class:`EstimatesRecordError`."""
+    """Restore what the previous holder learned; raise :class:`EstimatesRecordError`."""
     try:
         record = _decoder.decode(data)
     except msgspec.MsgspecError as error:
@@ -97,19 +97,19 @@
     if record.version != RECORD_VERSION:
         raise EstimatesRecordError(f"version {record.version}")
     for entry in record.works:
-        work = durations.find_or_add(entry.queue, entry.tenant)
+        work = durations.find_or_create(entry.queue, entry.tenant)
         if work is not None:
             weights = {key: value / _WEIGHT_UNIT for key, value in entry.weights.items()}
             work.sketch.load(weights, now)
             work.seen_at = now
-    durations.refresh_works(now)
-    kept = {
-        entry.worker_id: KeptSpeed(
+    durations.refresh_work_models(now)
+    restored = {
+        entry.worker_id: RestoredSpeed(
             entry.born_ms, entry.mean_log / _LOG_UNIT, entry.evidence / _WEIGHT_UNIT
         )
         for entry in record.speeds
     }
-    durations.speeds.keep_for_later(kept)
+    durations.speeds.set_restored(restored)
 
 
 def _work_entry(work: WorkModel, now: float) -> WorkEntry:
@@ -122,18 +122,18 @@
 
 
 def _speed_entry(speed: WorkerSpeed, now: float) -> SpeedEntry:
-    mean = max(-_LARGEST_LOG, min(_LARGEST_LOG, round(speed.mean_log * _LOG_UNIT)))
+    mean_log = max(-_MAXIMUM_LOG, min(_MAXIMUM_LOG, round(speed.mean_log * _LOG_UNIT)))
     evidence = round(speed.evidence(now) * _WEIGHT_UNIT)
-    return SpeedEntry(speed.worker_id, speed.born_ms, mean, evidence)
+    return SpeedEntry(speed.worker_id, speed.born_ms, mean_log, evidence)
 
 
-def _within(entries: list[_Entry], most: int) -> list[_Entry]:
-    """Return the first entries that take so many bytes together."""
+def _take_within(entries: list[_Entry], maximum_bytes: int) -> list[_Entry]:
+    """Return the leading entries whose encoded size fits into a maximum."""
     chosen = []
-    size = 0
+    size_bytes = 0
     for entry in entries:
-        size += len(_encoder.encode(entry))
-        if size > most:
+        size_bytes += len(_encoder.encode(entry))
+        if size_bytes > maximum_bytes:
             break
         chosen.append(entry)
     return chosen
--- a/src/onyxspoke/core/estimates/report.py
+++ b/src/onyxspoke/core/estimates/report.py
@@ -1,4 +1,4 @@
-"""What is known of estimates and workers, for operators."""
+"""Reports learned estimates and worker speeds to operators."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from onyxspoke.core.estimates.speeds import WorkerSpeed
 from onyxspoke.core.estimates.work import WorkModel
 
-#: A factor that changed by less than this share since it was last told is not told again.
-TOLD_CHANGE_SHARE = 0.2
-#: Changes told at each look at most; the others follow at later ones.
-MAXIMUM_TOLD = 6
+#: A factor is logged again only if it changed by more than this share since the last time.
+MINIMUM_CHANGE_SHARE = 0.2
+#: Maximum number of changes returned by one call; later calls return the others.
+MAXIMUM_CHANGES_PER_CALL = 6
 
 
-class WorkLine(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a queue's work, or of a tenant's in it.
+class WorkReport(msgspec.Struct, frozen=True, kw_only=True):
+    """The learned factors of a queue, or of a tenant in a queue.
 
     Attributes
     ----------
     tenant : str
         Empty for the queue as a whole.
     factor, upper_factor : float
-        By what estimates are multiplied: for the median, and for the upper quantile.
+        Factors by which estimates are multiplied for the median and for the upper quantile.
     jobs : float
-        Jobs that tell of exactly this work, as they count now.
+        Decayed number of observed jobs of this queue and tenant.
     """
 
     queue: str
@@ -34,15 +34,15 @@
     jobs: float
 
 
-class SpeedLine(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a worker.
+class WorkerSpeedReport(msgspec.Struct, frozen=True, kw_only=True):
+    """The learned speed of a worker.
 
     Attributes
     ----------
     factor : float
-        By what times of work there are multiplied.
+        Factor by which durations on this worker are multiplied.
     runs : float
-        Runs that tell of it, as they count now.
+        Decayed number of observed runs on this worker.
     """
 
     worker_id: str
@@ -52,14 +52,14 @@
 
 
 class EstimatesReport(msgspec.Struct, frozen=True, kw_only=True):
-    """All that is known; workers of which nothing is known are left out."""
+    """All learned factors; workers without observations are omitted."""
 
-    works: list[WorkLine]
-    workers: list[SpeedLine]
+    works: list[WorkReport]
+    workers: list[WorkerSpeedReport]
 
 
 class FactorChange(msgspec.Struct, frozen=True):
-    """A factor that changed much: of a queue, of a tenant in it, or of a worker."""
+    """A large change of the factor of a queue, of a tenant in a queue, or of a worker."""
 
     queue: str
     tenant: str
@@ -72,9 +72,9 @@
 
 
 def describe_estimates(durations: Durations, now: float) -> EstimatesReport:
-    """Return what is known, by name."""
+    """Return all learned factors, sorted by name."""
     works = [
-        WorkLine(
+        WorkReport(
             queue=work.queue,
             tenant=work.tenant,
             factor=work.factor,
@@ -84,7 +84,7 @@
         for work in [*durations.queues.values(), *durations.tenants.values()]
     ]
     workers = [
-        SpeedLine(
+        WorkerSpeedReport(
             worker_id=speed.worker_id,
             kind=speed.kind,
             factor=speed.factor,
@@ -99,21 +99,25 @@
 
 
 def take_changes(durations: Durations, now: float) -> list[FactorChange]:
-    """Return the factors that changed much since they were last told, some at a time."""
+    """Return factors that changed much since they were last logged, and mark them as logged."""
     changes: list[FactorChange] = []
     for work in [*durations.queues.values(), *durations.tenants.values()]:
-        if len(changes) < MAXIMUM_TOLD and _has_changed(work.factor, work.told_factor):
+        if len(changes) < MAXIMUM_CHANGES_PER_CALL and _has_changed(
+            work.factor, work.logged_factor
+        ):
             changes.append(_work_change(work, now))
-            work.told_factor = work.factor
+            work.logged_factor = work.factor
     for speed in durations.speeds.workers.values():
-        if len(changes) < MAXIMUM_TOLD and _has_changed(speed.factor, speed.told_factor):
+        if len(changes) < MAXIMUM_CHANGES_PER_CALL and _has_changed(
+            speed.factor, speed.logged_factor
+        ):
             changes.append(_speed_change(speed, now))
-            speed.told_factor = speed.factor
+            speed.logged_factor = speed.factor
     return changes
 
 
-def _has_changed(factor: float, told: float) -> bool:
-    return max(factor, told) > (1.0 + TOLD_CHANGE_SHARE) * min(factor, told)
+def _has_changed(factor: float, logged_factor: float) -> bool:
+    return max(factor, logged_factor) > (1.0 + MINIMUM_CHANGE_SHARE) * min(factor, logged_factor)
 
 
 def _work_change(work: WorkModel, now: float) -> FactorChange:
@@ -123,7 +127,7 @@
         worker_id="",
         kind="",
         factor=work.factor,
-        former=work.told_factor,
+        former=work.logged_factor,
         upper=work.upper_factor,
         evidence=work.evidence(now),
     )
@@ -136,7 +140,7 @@
         worker_id=speed.worker_id,
         kind=speed.kind,
         factor=speed.factor,
-        former=speed.told_factor,
+        former=speed.logged_factor,
         upper=speed.factor,
         evidence=speed.evidence(now),
     )
--- a/src/onyxspoke/core/estimates/work.py
+++ b/src/onyxspoke/core/estimates/work.py
@@ -1,4 +1,4 @@
-"""By what callers' estimates of one kind of work are off: a queue's, or a tenant's in a queue."""
+"""Learns the error of callers' estimates for a queue, or for a tenant in a queue."""
 
 from __future__ import annotations
 
@@ -6,55 +6,57 @@
 
 from onyxspoke.core.estimates.sketch import RatioSketch
 
-#: Jobs that must have been seen before a queue's factor counts, ...
-LEAST_JOBS = 8.0
-#: ... and a tenant's in its queue, which else is the queue's.
-LEAST_TENANT_JOBS = 16.0
-#: A median so near to the estimate, as a logarithm, is the estimate.
-NEAR_LOG = 0.11
-#: The quantile that is told as the upper one.
-UPPER_SHARE = 0.9
-#: Quantiles between which two thirds of what was seen lie.
-_LOW_SHARE, _HIGH_SHARE = 0.16, 0.84
+#: Observed jobs that are needed before a queue has a factor.
+MINIMUM_JOBS = 8.0
+#: Observed jobs that are needed before a tenant has its own factor instead of its queue's.
+MINIMUM_TENANT_JOBS = 16.0
+#: A median ratio whose logarithm is below this value counts as 1.
+NEUTRAL_BAND_LOG = 0.11
+#: The quantile that ``upper_factor`` stands for.
+UPPER_QUANTILE = 0.9
+#: Two thirds of the observations lie between these quantiles.
+_LOW_QUANTILE, _HIGH_QUANTILE = 0.16, 0.84
 
 
 class WorkModel:
-    """What is known of one kind of work; jobs share it, so that they see each change at once.
+    """The learned error of estimates for a queue or tenant.
+
+    All its jobs share one model, so that a change applies to them at once.
 
     Attributes
     ----------
     queue, tenant : str
-        Whose work; the tenant is empty for that of the whole queue.
+        The modelled queue and tenant; the tenant is empty for the whole queue.
     parent : WorkModel or None
-        The queue's, which counts while too little was seen of the tenant's.
+        The queue's model, which is used while the tenant has too few observations.
     sketch : RatioSketch
-        What was seen, less what workers' speeds explain.
+        Observed ratios of actual to estimated durations, corrected for workers' speeds.
     is_known : bool
-        Whether enough was seen of it, or of its queue, for a factor.
+        Whether this model or its parent has enough observations for a factor.
     factor : float
-        By what its estimates are to be multiplied; 1 exactly where little is known.
+        Factor by which estimates are multiplied; exactly 1 with too few observations.
     upper_factor : float
-        By what they are to be multiplied for the upper quantile; not below the factor.
+        Factor by which estimates are multiplied for the upper quantile; at least ``factor``.
     spread_log : float
-        How far from its median usual work ends, as a logarithm.
+        Half the range between the low and the high quantile, as a logarithm.
     seen_at : float
-        When something was last seen, or when it was first looked at; infinity before.
-    told_factor : float
-        The factor that the log knows.
+        Time of the last observation, or of the first refresh; infinity before both.
+    logged_factor : float
+        The factor that was last written to the log.
     """
 
     __slots__ = (
-        "_is_own",
         "_refreshed_at",
+        "_uses_own_factor",
         "factor",
         "is_known",
+        "logged_factor",
         "parent",
         "queue",
         "seen_at",
         "sketch",
         "spread_log",
         "tenant",
-        "told_factor",
         "upper_factor",
     )
 
@@ -64,44 +66,44 @@
         self.parent = parent
         self.sketch = RatioSketch()
         self.seen_at = math.inf
-        self.told_factor = 1.0
+        self.logged_factor = 1.0
         self._refreshed_at = -math.inf
-        self._know_nothing()
+        self._inherit_factor()
 
     def evidence(self, now: float) -> float:
-        """Return how many jobs the factor rests on."""
-        if self._is_own or self.parent is None:
+        """Return the decayed number of jobs that the factor is derived from."""
+        if self._uses_own_factor or self.parent is None:
             return self.sketch.weight(now)
         return self.parent.evidence(now)
 
-    def note(self, log_ratio: float, weight: float, now: float) -> None:
-        """Take in how one task compared with its estimate, for the queue as well."""
+    def add_sample(self, log_ratio: float, weight: float, now: float) -> None:
+        """Add one observed ratio to this model and to its parent."""
         self.sketch.add(log_ratio, weight, now)
         self.seen_at = now
         if self.parent is not None:
-            self.parent.note(log_ratio, weight, now)
+            self.parent.add_sample(log_ratio, weight, now)
 
     def refresh(self, now: float) -> None:
-        """Work the factor out anew from what was seen; a tenant's after its queue's."""
+        """Recompute the factors; a parent must be refreshed before its children."""
         self.seen_at = min(self.seen_at, now)
-        least = LEAST_JOBS if self.parent is None else LEAST_TENANT_JOBS
-        if self.sketch.weight(now) < least:
-            self._know_nothing()
+        minimum_jobs = MINIMUM_JOBS if self.parent is None else MINIMUM_TENANT_JOBS
+        if self.sketch.weight(now) < minimum_jobs:
+            self._inherit_factor()
             self._refreshed_at = -math.inf
             return
         if self.seen_at <= self._refreshed_at:
             return
         self._refreshed_at = now
-        self._is_own = self.is_known = True
+        self._uses_own_factor = self.is_known = True
         self.factor = _factor_of(self.sketch.quantile(0.5))
-        self.upper_factor = max(self.factor, _factor_of(self.sketch.quantile(UPPER_SHARE)))
-        spread = self.sketch.quantile(_HIGH_SHARE) - self.sketch.quantile(_LOW_SHARE)
-        self.spread_log = spread / 2.0
+        self.upper_factor = max(self.factor, _factor_of(self.sketch.quantile(UPPER_QUANTILE)))
+        quantile_range = self.sketch.quantile(_HIGH_QUANTILE) - self.sketch.quantile(_LOW_QUANTILE)
+        self.spread_log = quantile_range / 2.0
 
-    def _know_nothing(self) -> None:
-        """Take what is known of the queue, or the estimates as they are."""
+    def _inherit_factor(self) -> None:
+        """Use the parent's factors, or 1 without a parent."""
         parent = self.parent
-        self._is_own = False
+        self._uses_own_factor = False
         self.is_known = parent is not None and parent.is_known
         self.factor = 1.0 if parent is None else parent.factor
         self.upper_factor = 1.0 if parent is None else parent.upper_factor
@@ -109,13 +111,13 @@
 
 
 def _factor_of(log_ratio: float) -> float:
-    return 1.0 if abs(log_ratio) < NEAR_LOG else math.exp(log_ratio)
+    return 1.0 if abs(log_ratio) < NEUTRAL_BAND_LOG else math.exp(log_ratio)
 
 
-#: Of work of which nothing is learned.
+#: The model that leaves callers' estimates unchanged.
 UNLEARNED_WORK = WorkModel("")
 
 
 def unlearned_work(_queue: str, _tenant: str) -> WorkModel:
-    """Return the model of work of which nothing is learned."""
+    """Return the model that leaves callers' estimates unchanged."""
     return UNLEARNED_WORK
--- a/src/onyxspoke/core/tenants/__init__.py
+++ b/src/onyxspoke/core/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Who a job is run for: keys, quotas and shares of the cell, without I/O."""
+"""Tenants' keys, quotas and fair shares of the cell, without I/O."""
--- a/src/onyxspoke/core/tenants/bank.py
+++ b/src/onyxspoke/core/tenants/bank.py
@@ -1,9 +1,9 @@
-"""One quota for a tenant over several shards: its home shard lends parts of it to the others.
+"""Shares one tenant's quota among several shards: its home shard lends parts to the others.
 
-The holder of a tenant's home shard keeps what each other shard may have running of it.  A loan is
-on record in the home shard's partition before the borrower is told, so that a successor knows every
-loan that may be in use; what is not lent is the home shard's own.  A borrower that has asked for
-less uses no more than that from then on, so that what it returned can be lent to another.
+The holder of a tenant's home shard tracks the part that each other shard may use.  A loan is
+recorded in the home shard's partition before the borrower is notified, so that the next holder
+knows every loan that may be in use.  The home shard uses the part that is not lent.  A borrower
+that requests less stops using the rest at once, so that the rest can be lent to another shard.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 QUOTA_PREFIX = "quota/"
-#: A borrower that waits for more than there is asks again sooner than this, in seconds; one that
-#: does not is taken to wait no longer.
-WAITING_SECONDS = 1.5
+#: A borrower repeats a request that was not granted in full; after this time without a repeat, in
+#: seconds, the request is dropped.
+UNMET_REQUEST_SECONDS = 1.5
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True):
-    """What one shard may have running of a tenant, and the request that it answers.
+    """The resources that one shard may use of a tenant's quota, and the request they answer.
 
-    A request counts only if it comes after the one before it: by a later holder of the shard, whose
-    token is higher, or by the same one with a higher number.
+    A request is accepted only if it is newer than the previous one: from a later holder of the
+    shard, which has a higher token, or from the same holder with a higher number.
     """
 
     token: int
@@ -37,9 +37,9 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A shard's holder asks to have so much of a tenant running, instead of what it has.
+    """A request of a shard's holder to replace its loan of a tenant's quota by another amount.
 
-    ``kept`` is what it goes on using until the answer, and is not lent to another meanwhile.
+    The shard keeps using ``kept`` until the answer, so that part is not lent to others meanwhile.
     """
 
     tenant: TenantName
@@ -51,8 +51,8 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """A shard that wants more than it may have."""
+class _UnmetRequest:
+    """The request of a shard that was not granted in full."""
 
     since: float
     asked_at: float
@@ -63,96 +63,104 @@
 @dataclass(slots=True)
 class _Account:
     loans: dict[ShardId, Loan] = field(default_factory=dict)
-    waiting: dict[ShardId, _Waiting] = field(default_factory=dict)
+    unmet_requests: dict[ShardId, _UnmetRequest] = field(default_factory=dict)
 
-    def lent(self, but: ShardId | None = None) -> Needs:
+    def lent(self, excluded_shard: ShardId | None = None) -> Needs:
         total = Needs()
         for shard, loan in self.loans.items():
-            if shard != but:
+            if shard != excluded_shard:
                 total = plus(total, loan.amount)
         return total
 
-    def note_waiting(self, shard: ShardId, wanted: Needs, used: Needs, now: float) -> None:
-        """A shard wants more than it may have; one that has started something waits anew."""
-        waiting = self.waiting.get(shard)
-        if waiting is None:
-            self.waiting[shard] = _Waiting(now, now, wanted, used)
+    def record_unmet(self, shard: ShardId, wanted: Needs, used: Needs, now: float) -> None:
+        """Record an unmet request; its waiting time restarts if the shard has started more work."""
+        unmet = self.unmet_requests.get(shard)
+        if unmet is None:
+            self.unmet_requests[shard] = _UnmetRequest(now, now, wanted, used)
             return
-        if any(new > old for new, old in zip(used, waiting.used, strict=True)):
-            waiting.since = now
-        waiting.asked_at, waiting.wanted, waiting.used = now, wanted, used
+        if any(new > old for new, old in zip(used, unmet.used, strict=True)):
+            unmet.since = now
+        unmet.asked_at, unmet.wanted, unmet.used = now, wanted, used
 
-    def kept_for_older(self, shard: ShardId) -> Needs:
-        """Return what is missing to the shards that have waited for longer than one."""
-        own = self.waiting.get(shard)
+    def reserved_for_older_requests(self, shard: ShardId) -> Needs:
+        """Return the resources that shards with older unmet requests still lack."""
+        own_request = self.unmet_requests.get(shard)
         kept = Needs()
-        for other, waiting in self.waiting.items():
-            if other == shard or (own is not None and own.since <= waiting.since):
+        for other, unmet in self.unmet_requests.items():
+            if other == shard or (own_request is not None and own_request.since <= unmet.since):
                 continue
             loan = self.loans.get(other)
-            had = loan.amount if loan is not None else waiting.used
-            kept = plus(kept, Needs(*map(_missing, waiting.wanted, had)))
+            allocated = loan.amount if loan is not None else unmet.used
+            kept = plus(kept, Needs(*map(_missing, unmet.wanted, allocated)))
         return kept
 
-    def forget_gone(self, now: float) -> None:
-        """Forget shards that ask no more."""
-        for shard, waiting in list(self.waiting.items()):
-            if now - waiting.asked_at > WAITING_SECONDS:
-                del self.waiting[shard]
+    def drop_expired(self, now: float) -> None:
+        """Drop unmet requests that were not repeated in time."""
+        for shard, unmet in list(self.unmet_requests.items()):
+            if now - unmet.asked_at > UNMET_REQUEST_SECONDS:
+                del self.unmet_requests[shard]
 
 
 class QuotaBank:
-    """What a shard has lent of the quotas whose home it is.
+    """Lends the quotas of tenants whose home shard this is.
 
-    What is free goes to who has waited for longest, until that one has all that it wants: else each
-    of several shards would hold a part that none of them can start anything with.  The others, who
-    ask again, offer what they do not use.  One that has started something waits anew.
+    Free quota goes to the oldest unmet request until that request is granted in full.  Otherwise
+    several shards could each hold a part that is too small to start any task.  The other shards
+    repeat their requests and return the quota that they do not use.  The waiting time of a shard
+    restarts when the shard starts work.
     """
 
     def __init__(self, home: ShardId) -> None:
         self._home = home
         self._accounts: dict[TenantName, _Account] = {}
-        #: Tenants whose loans are to be recorded anew.
+        #: Tenants whose loans have changed since they were last recorded.
         self.dirty: dict[TenantName, None] = {}
 
     def lent(self, tenant: TenantName) -> Needs:
-        """Return what is lent of a tenant's quota."""
+        """Return the total of a tenant's quota that is lent."""
         account = self._accounts.get(tenant)
         return Needs() if account is None else account.lent()
 
     def kept_back(self, tenant: TenantName) -> Needs:
-        """Return what the home shard leaves to others that have waited for longer."""
+        """Return the quota that the home shard leaves to older requests of other shards."""
         account = self._accounts.get(tenant)
-        return Needs() if account is None else account.kept_for_older(self._home)
+        return Needs() if account is None else account.reserved_for_older_requests(self._home)
 
     def note_home(self, tenant: TenantName, wanted: Needs, used: Needs, now: float) -> None:
-        """Take note of what the home shard itself wants of a quota, beside what it has running."""
+        """Record the resources that the home shard wants in addition to those in use."""
         account = self._accounts.get(tenant)
         if account is None:
             return
-        account.forget_gone(now)
+        account.drop_expired(now)
         if any(wanted):
-            account.note_waiting(self._home, plus(used, wanted), used, now)
+            account.record_unmet(self._home, plus(used, wanted), used, now)
         else:
-            account.waiting.pop(self._home, None)
+            account.unmet_requests.pop(self._home, None)
 
     def request(self, request: QuotaRequest, quota: Needs, used: Needs, now: float) -> Needs:
-        """Return what the shard that asks may have running, once that is on record.
+        """Return the amount that the requesting shard may use after the loan is recorded.
 
         Parameters
         ----------
         quota : Needs
             The tenant's quota; an amount of 0 sets no limit.
         used : Needs
-            What the home shard may have running of it.
+            The resources that the home shard's runs may use.
         """
         account = self._accounts.setdefault(request.tenant, _Account())
-        former = account.loans.get(request.shard)
-        place = (request.token, request.number)
-        if former is not None and place <= (former.token, former.number):
-            # A repeat gets its answer again; one that was overtaken is not waited for any more.
-            return former.amount if place == (former.token, former.number) else Needs()
-        if former is None and not any(request.amount):
+        previous_loan = account.loans.get(request.shard)
+        request_order = (request.token, request.number)
+        if previous_loan is not None and request_order <= (
+            previous_loan.token,
+            previous_loan.number,
+        ):
+            # A repeated request gets the same answer; nobody waits for the answer to an older one.
+            return (
+                previous_loan.amount
+                if request_order == (previous_loan.token, previous_loan.number)
+                else Needs()
+            )
+        if previous_loan is None and not any(request.amount):
             return Needs()
         granted = self._grant(account, request, quota, used, now)
         account.loans[request.shard] = Loan(request.token, request.number, granted)
@@ -162,33 +170,33 @@
     def _grant(
         self, account: _Account, request: QuotaRequest, quota: Needs, used: Needs, now: float
     ) -> Needs:
-        """Return as much of what is asked for as there is, and as no other waits for longer."""
-        account.forget_gone(now)
-        free = minus(minus(quota, used), account.lent(but=request.shard))
-        free = minus(free, account.kept_for_older(request.shard))
+        """Return the part of the request that is free and not reserved for older requests."""
+        account.drop_expired(now)
+        free = minus(minus(quota, used), account.lent(excluded_shard=request.shard))
+        free = minus(free, account.reserved_for_older_requests(request.shard))
         granted = Needs(
             *(
-                wanted if not most else max(kept, min(wanted, left))
-                for wanted, most, left, kept in zip(
+                wanted if not limit else max(kept, min(wanted, free_amount))
+                for wanted, limit, free_amount, kept in zip(
                     request.amount, quota, free, request.kept, strict=True
                 )
             )
         )
         if granted == request.amount:
-            account.waiting.pop(request.shard, None)
+            account.unmet_requests.pop(request.shard, None)
         else:
-            account.note_waiting(request.shard, request.amount, request.kept, now)
+            account.record_unmet(request.shard, request.amount, request.kept, now)
         return granted
 
     # Records
 
     def encode(self, tenant: TenantName) -> bytes:
-        """Return the record of a tenant's loans."""
+        """Return the encoded loans of a tenant."""
         loans = self._accounts[tenant].loans
         return _encoder.encode(loans)
 
     def restore(self, tenant: TenantName, data: bytes) -> None:
-        """Take in what a former holder had lent; raise ``msgspec.MsgspecError``."""
+        """Restore the previous holder's loans; raise ``msgspec.MsgspecError``."""
         if data:
             self._accounts[tenant] = _Account(loans=_decoder.decode(data))
 
@@ -197,8 +205,8 @@
 _decoder = msgspec.msgpack.Decoder(dict[ShardId, Loan])
 
 
-def _missing(wanted: int, had: int) -> int:
-    return max(0, wanted - had)
+def _missing(wanted: int, allocated: int) -> int:
+    return max(0, wanted - allocated)
 
 
 def home_shard(tenant: TenantName, shard_count: int) -> ShardId:
--- a/src/onyxspoke/core/tenants/borrower.py
+++ b/src/onyxspoke/core/tenants/borrower.py
@@ -1,4 +1,4 @@
-"""What a shard may have running of each tenant, where the quota is lent by another shard."""
+"""Borrows parts of tenants' quotas from the tenants' home shards."""
 
 from __future__ import annotations
 
@@ -10,53 +10,53 @@
 from onyxspoke.core.tenants.bank import QuotaRequest
 from onyxspoke.core.tenants.policy import TenantName
 
-#: Between two requests for more, in seconds: what comes close together shares one, and one that was
-#: lent less than it asked for asks again.
-REQUEST_SECONDS = 0.05
-AGAIN_SECONDS = 0.25
-#: What is not needed is returned after so long, in seconds: the next jobs may need it soon, and an
-#: urgent one would wait 0.03 s for it.
-KEEP_SECONDS = 1.0
-#: A request without an answer is given up after so long, in seconds.
-PATIENCE_SECONDS = 1.0
+#: Seconds between two requests for more, so that jobs that arrive together share a request; and
+#: seconds until a request is repeated that was not granted in full.
+REQUEST_INTERVAL_SECONDS = 0.05
+RETRY_SECONDS = 0.25
+#: Unneeded quota is returned after this time, in seconds, because the next jobs may need it soon
+#: and an urgent job would wait 0.03 s for a new loan.
+SURPLUS_RETENTION_SECONDS = 1.0
+#: A request without an answer is given up after this time, in seconds.
+REPLY_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(slots=True)
-class _Credit:
-    """What one tenant may have running here."""
+class _Allocation:
+    """The part of a tenant's quota that this shard may use."""
 
     quota: Needs
     amount: Needs = field(default_factory=Needs)
     number: int = 0
     sent_at: float = 0.0
     is_waiting: bool = False
-    #: The latest answer was less than what was asked for.
+    #: Whether the latest answer granted less than was requested.
     is_short: bool = False
     next_at: float = 0.0
-    #: Since when more is held than is needed.
+    #: Time since which more is borrowed than is needed.
     surplus_since: float | None = None
 
 
 class QuotaBorrower:
-    """Asks for, uses and returns parts of tenants' quotas.
+    """Requests, tracks and returns parts of tenants' quotas for one shard.
 
     Parameters
     ----------
     shard : int
         The shard that borrows.
     token : int
-        Of its holder's claim.
+        The fencing token of the claim of the shard's holder.
     """
 
     def __init__(self, shard: ShardId, token: int) -> None:
         self._shard = shard
         self._token = token
-        self._credits: dict[TenantName, _Credit] = {}
+        self._credits: dict[TenantName, _Allocation] = {}
 
     def amount(self, tenant: TenantName) -> Needs:
-        """Return what a tenant may have running here."""
-        credit = self._credits.get(tenant)
-        return Needs() if credit is None else credit.amount
+        """Return the resources that a tenant's runs may use in this shard."""
+        allocation = self._credits.get(tenant)
+        return Needs() if allocation is None else allocation.amount
 
     def keep(
         self, tenant: TenantName, quota: Needs, used: Needs, wanted: Needs, now: float
@@ -68,95 +68,103 @@
         quota : Needs
             The tenant's quota in force.
         used : Needs
-            What may be running of it here.
+            The resources that the tenant's runs may use in this shard.
         wanted : Needs
-            What waits beside, and could start.
+            The resources of waiting tasks that could start in addition.
         """
-        credit = self._credits.get(tenant)
-        if credit is None:
-            credit = self._credits[tenant] = _Credit(quota=quota)
-        if _is_lowered(credit.quota, quota):
-            # Others may count on what was lent under the former quota: nothing more starts here
-            # before the lender has said how much may.
-            credit.amount = bounded(credit.amount, used)
-        credit.quota = quota
-        if credit.is_waiting and now - credit.sent_at < PATIENCE_SECONDS:
+        allocation = self._credits.get(tenant)
+        if allocation is None:
+            allocation = self._credits[tenant] = _Allocation(quota=quota)
+        if _lowers_limit(allocation.quota, quota):
+            # Other shards may still use loans of the previous quota, so nothing more starts here
+            # until the lender has granted an amount under the new quota.
+            allocation.amount = bounded(allocation.amount, used)
+        allocation.quota = quota
+        if allocation.is_waiting and now - allocation.sent_at < REPLY_TIMEOUT_SECONDS:
             return None
-        credit.is_waiting = False
-        target = _within(plus(used, wanted), quota)
+        allocation.is_waiting = False
+        target = _limit_to_quota(plus(used, wanted), quota)
         target = Needs(*map(max, target, used))
-        if credit.number == 0:
-            # A former holder of the shard may have borrowed what nobody returned.
-            return self._ask(tenant, credit, target, used, now)
-        needs_more = any(have < want for have, want in zip(credit.amount, target, strict=True))
+        if allocation.number == 0:
+            # A previous holder of this shard may have borrowed quota that nobody returned.
+            return self._ask(tenant, allocation, target, used, now)
+        needs_more = any(
+            current < required for current, required in zip(allocation.amount, target, strict=True)
+        )
         if needs_more:
-            credit.surplus_since = None
-            if now < credit.next_at:
+            allocation.surplus_since = None
+            if now < allocation.next_at:
                 return None
-            return self._ask(tenant, credit, target, used, now)
-        return self._return_surplus(tenant, credit, target, used, now)
+            return self._ask(tenant, allocation, target, used, now)
+        return self._return_surplus(tenant, allocation, target, used, now)
 
     def handle_granted(self, request: QuotaRequest, amount: Needs, now: float) -> bool:
-        """Take the answer to a request; return whether there is more to start with."""
-        credit = self._credits.get(request.tenant)
-        if credit is None or request.number != credit.number:
+        """Store the granted amount; return whether any resource of it has grown."""
+        allocation = self._credits.get(request.tenant)
+        if allocation is None or request.number != allocation.number:
             return False
-        credit.is_waiting = False
-        has_grown = any(new > old for new, old in zip(amount, credit.amount, strict=True))
-        is_whole = amount == request.amount
-        credit.is_short = not is_whole
-        credit.amount = amount
-        credit.next_at = now + (REQUEST_SECONDS if is_whole else AGAIN_SECONDS)
+        allocation.is_waiting = False
+        has_grown = any(new > old for new, old in zip(amount, allocation.amount, strict=True))
+        is_granted_in_full = amount == request.amount
+        allocation.is_short = not is_granted_in_full
+        allocation.amount = amount
+        allocation.next_at = now + (
+            REQUEST_INTERVAL_SECONDS if is_granted_in_full else RETRY_SECONDS
+        )
         return has_grown
 
     def handle_unanswered(self, request: QuotaRequest, now: float) -> None:
-        """The lender was not reached, or not heard: ask again."""
-        credit = self._credits.get(request.tenant)
-        if credit is not None and request.number == credit.number:
-            credit.is_waiting = False
-            credit.next_at = now + AGAIN_SECONDS
+        """Schedule a new request, because the lender did not answer this one."""
+        allocation = self._credits.get(request.tenant)
+        if allocation is not None and request.number == allocation.number:
+            allocation.is_waiting = False
+            allocation.next_at = now + RETRY_SECONDS
 
     def _return_surplus(
-        self, tenant: TenantName, credit: _Credit, target: Needs, used: Needs, now: float
+        self, tenant: TenantName, allocation: _Allocation, target: Needs, used: Needs, now: float
     ) -> QuotaRequest | None:
-        if credit.amount == target:
-            credit.surplus_since = None
+        if allocation.amount == target:
+            allocation.surplus_since = None
             return None
-        if credit.surplus_since is None:
-            credit.surplus_since = now
-        if now - credit.surplus_since < KEEP_SECONDS:
+        if allocation.surplus_since is None:
+            allocation.surplus_since = now
+        if now - allocation.surplus_since < SURPLUS_RETENTION_SECONDS:
             return None
-        credit.surplus_since = None
-        return self._ask(tenant, credit, target, used, now)
+        allocation.surplus_since = None
+        return self._ask(tenant, allocation, target, used, now)
 
     def _ask(
-        self, tenant: TenantName, credit: _Credit, target: Needs, used: Needs, now: float
+        self, tenant: TenantName, allocation: _Allocation, target: Needs, used: Needs, now: float
     ) -> QuotaRequest:
-        credit.number += 1
-        credit.sent_at = now
-        credit.is_waiting = True
-        # What is returned with this is not used any more, whatever becomes of the request.  One
-        # that was lent too little offers what it does not use: another may have waited for longer.
-        credit.amount = bounded(credit.amount, used if credit.is_short else target)
+        allocation.number += 1
+        allocation.sent_at = now
+        allocation.is_waiting = True
+        # Quota that this request returns is not used any more, even if the request is lost.  After
+        # a partial grant all unused quota is offered, because another shard may wait longer.
+        allocation.amount = bounded(allocation.amount, used if allocation.is_short else target)
         return QuotaRequest(
             tenant=tenant,
             shard=self._shard,
             token=self._token,
-            number=credit.number,
+            number=allocation.number,
             amount=target,
-            kept=Needs(*map(max, used, credit.amount)),
+            kept=Needs(*map(max, used, allocation.amount)),
         )
 
 
-def _within(amount: Needs, quota: Needs) -> Needs:
-    """Return an amount that is at most the quota, where that sets a limit."""
+def _limit_to_quota(amount: Needs, quota: Needs) -> Needs:
+    """Return an amount capped at the quota, where the quota sets a limit."""
     return Needs(
-        *(min(have, most) if most else have for have, most in zip(amount, quota, strict=True))
+        *(
+            min(current, limit) if limit else current
+            for current, limit in zip(amount, quota, strict=True)
+        )
     )
 
 
-def _is_lowered(former: Needs, quota: Needs) -> bool:
-    """Return whether a quota sets a lower limit than another one, on any amount."""
+def _lowers_limit(previous_quota: Needs, quota: Needs) -> bool:
+    """Return whether a quota has a lower limit than the previous one for any resource."""
     return any(
-        most and (not before or most < before) for before, most in zip(former, quota, strict=True)
+        limit and (not previous_limit or limit < previous_limit)
+        for previous_limit, limit in zip(previous_quota, quota, strict=True)
     )
--- a/src/onyxspoke/core/tenants/keys.py
+++ b/src/onyxspoke/core/tenants/keys.py
@@ -1,8 +1,8 @@
-"""Callers' keys: whose they are, and what is answered to a key that this node does not know.
+"""Checks callers' API keys and finds the tenants that own them.
 
-A key that is not known is wrong, or newer than the configuration in force here; one look at the
-newest version tells which.  A key that is known may have been withdrawn since this node last heard
-of the configuration, so what is known is trusted for a bounded time only.
+An unknown key is either wrong or newer than the node's configuration; the node reads the newest
+version to find out.  A known key may have been revoked since the node last received the
+configuration, so the configuration is trusted for a limited time only.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class KeyVerdict(Enum):
-    """What is done with a call, by the key that came with it.
+    """The result of checking the key of a call.
 
-    ``LOOK_FIRST``: the newest configuration is looked at before the call is answered.
-    ``UNPROVEN``: what is known here may be too old to go by, and nothing newer can be had.
+    ``LOOK_FIRST``: the newest configuration must be read before the call is answered.
+    ``UNPROVEN``: the configuration may be out of date, and the newest one cannot be read.
     """
 
     ADMITTED = "admitted"
@@ -32,13 +32,13 @@
 
 
 class Credential(msgspec.Struct, frozen=True):
-    """What a caller shows; ``key`` is empty where nothing readable came."""
+    """The credential of a call; ``key`` is empty if the call has no readable key."""
 
     key: str = ""
 
     @property
     def fingerprint(self) -> str:
-        """A short name of the key for logs, from which the key cannot be told."""
+        """A short hash of the key for logs, which does not reveal the key."""
         if not self.key:
             return "none"
         return hashlib.blake2s(self.key.encode(), digest_size=_FINGERPRINT_BYTES).hexdigest()
@@ -47,40 +47,40 @@
 class KeyRing(msgspec.Struct, frozen=True):
     """The keys of one version of the configuration.
 
-    ``owners`` tells whose each key is; ``is_required`` whether callers need a key at all, which
-    they do not in a cell without tenants.
+    ``owners`` maps each key to its tenant; ``is_required`` tells whether callers need a key, which
+    is false in a cell without tenants.
     """
 
     owners: dict[str, TenantName] = {}
     is_required: bool = False
 
     def tenant_of(self, credential: Credential) -> TenantName | None:
-        """Return whose a key is, or ``None`` for one that is not known."""
+        """Return the tenant that owns a key, or ``None`` for an unknown key."""
         return self.owners.get(credential.key)
 
 
 def judge_key(
     credential: Credential,
     ring: KeyRing,
-    proof_age_seconds: float,
-    trusted_seconds: float,
+    configuration_age_seconds: float,
+    maximum_age_seconds: float,
     was_looked_at: bool = False,
 ) -> KeyVerdict:
-    """Return what is done with a call.
+    """Return the verdict on the key of a call.
 
     Parameters
     ----------
-    proof_age_seconds : float
-        How long ago the version in force here was last known to be the newest.
-    trusted_seconds : float
-        For how long a version is gone by without such proof.
+    configuration_age_seconds : float
+        Seconds since the node's configuration was last known to be the newest version.
+    maximum_age_seconds : float
+        Seconds for which the configuration is trusted without a new confirmation.
     was_looked_at : bool
-        Whether the newest version was read after the call came.
+        Whether the newest version was read after the call arrived.
     """
     if not credential.key:
         return KeyVerdict.MISSING
     if ring.tenant_of(credential) is not None:
-        is_trusted = was_looked_at or proof_age_seconds <= trusted_seconds
+        is_trusted = was_looked_at or configuration_age_seconds <= maximum_age_seconds
         return KeyVerdict.ADMITTED if is_trusted else KeyVerdict.LOOK_FIRST
     return KeyVerdict.UNKNOWN if was_looked_at else KeyVerdict.LOOK_FIRST
 
@@ -88,7 +88,7 @@
 def may_see(owner: TenantName, caller: TenantName) -> bool:
     """Return whether a caller may see and cancel a job.
 
-    A job without an owner was handed in where no key was asked for, or before there were
-    tenants; a caller without one calls where none is asked for.
+    A job without an owner was submitted on a route without keys, or before the cell had tenants.
+    A caller without a tenant uses a route without keys.
     """
     return not owner or not caller or owner == caller
--- a/src/onyxspoke/core/tenants/policy.py
+++ b/src/onyxspoke/core/tenants/policy.py
@@ -1,4 +1,4 @@
-"""Tenants as the operator configures them."""
+"""The configuration of a tenant."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class TenantPolicy(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One tenant.
+    """The configured weight and quota of one tenant.
 
     Attributes
     ----------
     weight : float
-        Its share when all is full: so many jobs a second come before what others send beyond
-        their own weights.
+        The tenant's fair share in jobs per second: in a full cell these jobs go before jobs of
+        tenants that are over their share.
     quota : Needs
-        What it may have running over all workers; an amount of 0 sets no limit.
+        The resources that the tenant's runs may use on all workers; an amount of 0 sets no limit.
     """
 
     name: TenantName
--- a/src/onyxspoke/core/tenants/shares.py
+++ b/src/onyxspoke/core/tenants/shares.py
@@ -1,8 +1,8 @@
-"""Which jobs a tenant is owed: so many a second as its weight says, before what others send beyond.
+"""Fair shares: each tenant is entitled to as many jobs per second as its weight.
 
-When the cell is full, a tenant that sends many times its usual would otherwise push everybody
-else's jobs back.  Its jobs beyond its weight wait behind all that is owed; in an idle cell they
-run at once, because nothing is owed before them.
+In a full cell, a tenant that submits far more jobs than usual would otherwise delay the jobs of
+all other tenants.  Jobs over a tenant's share wait behind all entitled jobs; in an idle cell they
+run at once, because no entitled jobs wait.
 """
 
 from __future__ import annotations
@@ -11,62 +11,62 @@
 
 from onyxspoke.core.tenants.policy import TenantName, TenantPolicy
 
-#: Jobs saved up while a tenant sends less, in seconds of its weight: arrivals come in clusters,
-#: and a tenant that keeps to its weight over a second is to be owed every job.
-SAVED_SECONDS = 1.0
+#: Size of the token bucket, in seconds of the tenant's weight: jobs arrive in bursts, and a tenant
+#: that keeps to its weight over one second is entitled to all its jobs.
+BURST_SECONDS = 1.0
 
 
 @dataclass(slots=True)
 class _Bucket:
     jobs: float
-    filled_at: float
-    owed: int = 0
-    beyond: int = 0
+    refilled_at: float
+    entitled: int = 0
+    over_share: int = 0
 
 
 class ShareMeter:
-    """Marks each job that is handed in as owed, or as beyond its tenant's weight."""
+    """Classifies each submitted job as entitled or over its tenant's share by token buckets."""
 
     def __init__(self) -> None:
         self._buckets: dict[TenantName, _Bucket] = {}
 
     def take(self, policy: TenantPolicy | None, shards: int, now: float) -> bool:
-        """Return whether a job that is handed in now is owed to its tenant.
+        """Return whether a tenant is entitled to a job that is submitted now.
 
         Parameters
         ----------
         policy : TenantPolicy or None
-            The job's tenant; ``None`` where there are no tenants, and all is owed.
+            The job's tenant; ``None`` in a cell without tenants, where all jobs are entitled.
         shards : int
-            Shards of the cell, each of which takes an equal part of every tenant's jobs.
+            Number of shards of the cell; each shard receives an equal part of every tenant's jobs.
         """
         if policy is None:
             return True
-        most = max(1.0, policy.weight * SAVED_SECONDS)
+        capacity_jobs = max(1.0, policy.weight * BURST_SECONDS)
         bucket = self._buckets.get(policy.name)
         if bucket is None:
-            bucket = self._buckets[policy.name] = _Bucket(most, now)
-        gained = max(0.0, now - bucket.filled_at) * policy.weight / shards
-        bucket.jobs = min(most, bucket.jobs + gained)
-        bucket.filled_at = now
+            bucket = self._buckets[policy.name] = _Bucket(capacity_jobs, now)
+        refilled_jobs = max(0.0, now - bucket.refilled_at) * policy.weight / shards
+        bucket.jobs = min(capacity_jobs, bucket.jobs + refilled_jobs)
+        bucket.refilled_at = now
         if bucket.jobs < 1.0:
-            bucket.beyond += 1
+            bucket.over_share += 1
             return False
         bucket.jobs -= 1.0
-        bucket.owed += 1
+        bucket.entitled += 1
         return True
 
     def owed_count(self, name: TenantName) -> int:
-        """Return how many jobs of a tenant were owed to it."""
+        """Return how many of a tenant's jobs were entitled."""
         bucket = self._buckets.get(name)
-        return 0 if bucket is None else bucket.owed
+        return 0 if bucket is None else bucket.entitled
 
     def beyond_count(self, name: TenantName) -> int:
-        """Return how many jobs a tenant handed in beyond its weight."""
+        """Return how many of a tenant's jobs were over its share."""
         bucket = self._buckets.get(name)
-        return 0 if bucket is None else bucket.beyond
+        return 0 if bucket is None else bucket.over_share
 
     def keep_only(self, names: set[TenantName]) -> None:
-        """Forget tenants that left the configuration."""
+        """Drop tenants that are no longer configured."""
         for name in self._buckets.keys() - names:
             del self._buckets[name]
