--- a/src/onyxspoke/core/estimates/durations.py
+++ b/src/onyxspoke/core/estimates/durations.py
@@ -10,8 +10,8 @@
     PROGRESS_WEIGHT,
     RESOLUTION_SECONDS,
     Observation,
-    RunEvidence,
-    StepEvidence,
+    ObservedRunPace,
+    StepObservations,
     estimated_seconds,
     find_baseline,
     is_end_time_known,
@@ -22,9 +22,9 @@
     slowest_member,
     work_baseline,
 )
-from onyxspoke.core.estimates.expected import Expected
+from onyxspoke.core.estimates.expected import DurationEstimate
 from onyxspoke.core.estimates.speeds import WorkerSpeed, WorkerSpeeds
-from onyxspoke.core.estimates.work import UNLEARNED_WORK, WorkModel
+from onyxspoke.core.estimates.work_model import DEFAULT_WORK_MODEL, WorkModel
 from onyxspoke.core.jobs.states import RunEnd
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 _MILLISECONDS = 1_000.0
 
 
-class Durations:
+class DurationEstimator:
     """Estimates how long tasks take.
 
     Parameters
@@ -57,16 +57,16 @@
         self.tenants: dict[tuple[str, str], WorkModel] = {}
         self.speeds = WorkerSpeeds()
         #: Time on the holder's clock, in seconds, since which it has run without a pause.
-        self.watched_since = -math.inf
+        self.observing_since = -math.inf
         #: Whether runs were observed since the estimates were last recorded.
-        self.has_news = False
+        self.has_unrecorded_observations = False
         self._refresh_at = 0.0
 
     # Expected durations
 
     def expected(
         self, queue: str, tenant: str, estimated_ms: float, worker_id: str = ""
-    ) -> Expected:
+    ) -> DurationEstimate:
         """Return a task's expected duration on a worker; without one, at usual speed."""
         seconds = estimated_ms / _MILLISECONDS
         work = self.tenants.get((queue, tenant)) or self.queues.get(queue)
@@ -78,18 +78,18 @@
 
     def _on_worker(
         self, median_seconds: float, upper_seconds: float, evidence: float, worker_id: str
-    ) -> Expected:
+    ) -> DurationEstimate:
         factor = self.speeds.factor_of(worker_id) if worker_id else 1.0
-        return Expected(median_seconds * factor, upper_seconds * factor, evidence)
+        return DurationEstimate(median_seconds * factor, upper_seconds * factor, evidence)
 
-    def work_of(self, queue: str, tenant: str) -> WorkModel:
+    def work_model_for(self, queue: str, tenant: str) -> WorkModel:
         """Return the model that all jobs of a queue and tenant share.
 
         The queue's model is returned when the maximum number of tenant models is reached.
         """
         if not self._is_learning:
-            return UNLEARNED_WORK
-        return self.find_or_create(queue, tenant) or self.queues.get(queue, UNLEARNED_WORK)
+            return DEFAULT_WORK_MODEL
+        return self.find_or_create(queue, tenant) or self.queues.get(queue, DEFAULT_WORK_MODEL)
 
     def find_or_create(self, queue: str, tenant: str) -> WorkModel | None:
         """Return the model of this queue and tenant; ``None`` if the maximum number is reached."""
@@ -107,11 +107,11 @@
 
     # Incarnations of workers
 
-    def begin_life(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
+    def begin_incarnation(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
         """Return the speed of an incarnation that has started or is listed for the first time."""
         if not self._is_learning:
             return WorkerSpeed(worker_id, born_ms, kind)
-        return self.speeds.begin_life(worker_id, born_ms, kind, now)
+        return self.speeds.begin_incarnation(worker_id, born_ms, kind, now)
 
     def forget_worker(self, worker_id: str) -> None:
         """Drop the speed of a worker that has left the cell."""
@@ -119,11 +119,11 @@
 
     # Observations
 
-    def note_progress(self, run: Run, now: float) -> None:
+    def observe_progress(self, run: Run, now: float) -> None:
         """Learn from the progress of a run that its worker reports."""
         if not self._is_learning or run.percent < FIRST_PERCENT or run.gang is not None:
             return
-        if is_uninformative(run, self.watched_since):
+        if is_uninformative(run, self.observing_since):
             return
         if run.evidence is not None:
             change = run.evidence.update_pace(run.percent, now)
@@ -131,23 +131,23 @@
                 # A task's own pace is constant, so a change of pace is a change of the worker's
                 # speed.
                 run.worker.speed.add_pace_change(run.evidence.assumed_speed_log + change, now)
-                self.has_news = True
+                self.has_unrecorded_observations = True
             return
         seconds = projected_seconds(run, now)
         ratio = log_ratio(seconds, estimated_seconds(run))
         if ratio is None or now - run.confirmed_at <= RESOLUTION_SECONDS:
             return
-        run.evidence = RunEvidence(seconds, run.percent, now, run.worker.speed.log)
+        run.evidence = ObservedRunPace(seconds, run.percent, now, run.worker.speed.log)
         self._attribute_ratio(run, ratio, PROGRESS_WEIGHT, now)
 
-    def note_end(self, run: Run, end: RunEnd, now: float) -> None:
+    def observe_run_end(self, run: Run, end: RunEnd, now: float) -> None:
         """Learn from the end of a run that its worker lists."""
         if not self._is_learning or end is not RunEnd.DONE or not is_end_time_known(run, now):
             return
         if run.gang is not None:
             self._observe_gang_end(run.gang, now)
             return
-        if is_uninformative(run, self.watched_since):
+        if is_uninformative(run, self.observing_since):
             return
         ratio = log_ratio(now - run.confirmed_at, estimated_seconds(run))
         if ratio is not None:
@@ -158,7 +158,7 @@
         """Use a run's observed ratio for both its work model and its worker's speed."""
         step = run.task.step
         if step.evidence is None:
-            step.evidence = StepEvidence()
+            step.evidence = StepObservations()
         speed = run.worker.speed
         usual_log = ratio - speed.log
         step.evidence.add_sample(Observation(run.task.index, speed, ratio, share))
@@ -167,7 +167,7 @@
         tasks = len(step.tasks) * len(step.job.spec.steps)
         self._observe_work(step.job.work, usual_log, share / tasks, now)
 
-    def _compare_pending(self, step: StepProgress, evidence: StepEvidence, now: float) -> None:
+    def _compare_pending(self, step: StepProgress, evidence: StepObservations, now: float) -> None:
         """Update workers' speeds by comparing their runs with other runs of the same step."""
         pending, evidence.pending = evidence.pending, []
         for observation in pending:
@@ -185,7 +185,7 @@
         if gang.is_duration_recorded:
             return
         gang.is_duration_recorded = True
-        if is_gang_uninformative(gang, self.watched_since):
+        if is_gang_uninformative(gang, self.observing_since):
             return
         started_at = max(member.confirmed_at for member in gang.members)
         seconds = now - started_at
@@ -201,13 +201,13 @@
         self._observe_work(job.work, ratio - slowest_log, 1.0 / len(job.spec.steps), now)
 
     def _observe_work(self, work: WorkModel, usual_log: float, weight: float, now: float) -> None:
-        self.has_news = True
-        if work is not UNLEARNED_WORK:
+        self.has_unrecorded_observations = True
+        if work is not DEFAULT_WORK_MODEL:
             work.add_sample(usual_log, weight, now)
 
     # Periodic work
 
-    def keep(self, now: float) -> bool:
+    def refresh_if_due(self, now: float) -> bool:
         """Recompute the factors if the interval has passed; return whether they were recomputed."""
         if not self._is_learning or now < self._refresh_at:
             return False
--- a/src/onyxspoke/core/estimates/evidence.py
+++ b/src/onyxspoke/core/estimates/evidence.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxspoke.core.estimates.speeds import WorkerSpeed
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 from onyxspoke.core.jobs.states import RunState
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 _HALF_PERCENT = 0.5
 
 
-class RunEvidence:
+class ObservedRunPace:
     """The pace of a run and its progress at the last observation."""
 
     __slots__ = ("_pace_changes", "assumed_speed_log", "observed_at", "percent", "total_seconds")
@@ -93,7 +93,7 @@
     share: float
 
 
-class StepEvidence:
+class StepObservations:
     """log(actual / estimated) of one step's tasks, corrected for their workers' speeds.
 
     Attributes
@@ -145,12 +145,12 @@
     return run.task.step.spec.estimated_ms / _MILLISECONDS
 
 
-def is_uninformative(run: Run, watched_since: float) -> bool:
+def is_uninformative(run: Run, observing_since: float) -> bool:
     """Return whether a run's duration must not be used for its work model or its worker.
 
     Parameters
     ----------
-    watched_since : float
+    observing_since : float
         Time in seconds since which this holder has run without a pause.
     """
     spec = run.task.step.spec
@@ -162,14 +162,14 @@
         or run.is_resumed
         or not run.ordered_at
         or not run.confirmed_at
-        or run.confirmed_at < watched_since
+        or run.confirmed_at < observing_since
         or run.pace_percent != _FULL_PERCENT
         or run.ordered_pace_percent != _FULL_PERCENT
         or _is_outside_preferred_rack(run)
     )
 
 
-def is_gang_uninformative(gang: GangRun, watched_since: float) -> bool:
+def is_gang_uninformative(gang: GangRun, observing_since: float) -> bool:
     """Return whether a gang is broken, incomplete, split over racks or has an excluded run."""
     members = gang.members
     if gang.is_broken or len(members) < len(gang.step.tasks):
@@ -177,7 +177,7 @@
     racks = {member.worker.record.rack for member in members}
     if gang.step.spec.same_rack and len(racks) > 1:
         return True
-    return any(is_uninformative(member, watched_since) for member in members)
+    return any(is_uninformative(member, observing_since) for member in members)
 
 
 def _is_outside_preferred_rack(run: Run) -> bool:
@@ -205,7 +205,9 @@
     return ratio if abs(ratio) <= math.log(MAXIMUM_ERROR_FACTOR) else None
 
 
-def find_baseline(step: StepProgress, evidence: StepEvidence, worker_id: str) -> Baseline | None:
+def find_baseline(
+    step: StepProgress, evidence: StepObservations, worker_id: str
+) -> Baseline | None:
     """Return the baseline for a run on a worker; ``None`` if there are too few observations.
 
     Tasks of the same step on other workers share the job's estimation error, so they are a better
--- a/src/onyxspoke/core/estimates/expected.py
+++ b/src/onyxspoke/core/estimates/expected.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Expected(NamedTuple):
+class DurationEstimate(NamedTuple):
     """Median and upper quantile of a task's duration, and the number of jobs behind them.
 
     With an evidence of 0, both durations are the caller's estimate.
--- a/src/onyxspoke/core/estimates/record.py
+++ b/src/onyxspoke/core/estimates/record.py
@@ -10,10 +10,10 @@
 import msgspec
 from msgspec import Meta
 
-from onyxspoke.core.estimates.durations import Durations
+from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.estimates.sketch import BUCKETS_PER_SIDE, MAXIMUM_WEIGHT
 from onyxspoke.core.estimates.speeds import MAXIMUM_EVIDENCE, RestoredSpeed, WorkerSpeed
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 
 RECORD_VERSION = 1
 #: Maximum size of the work entries in the record.
@@ -68,7 +68,7 @@
 _decoder = msgspec.msgpack.Decoder(EstimatesRecord)
 
 
-def encode_estimates(durations: Durations, now: float) -> bytes:
+def encode_estimates(durations: DurationEstimator, now: float) -> bytes:
     """Return the encoded record; if it is too large, entries with least evidence are dropped."""
     works = sorted(
         [*durations.queues.values(), *durations.tenants.values()],
@@ -88,7 +88,7 @@
     return _encoder.encode(record)
 
 
-def restore_estimates(durations: Durations, data: bytes, now: float) -> None:
+def restore_estimates(durations: DurationEstimator, data: bytes, now: float) -> None:
     """Restore what the previous holder learned; raise :class:`EstimatesRecordError`."""
     try:
         record = _decoder.decode(data)
--- a/src/onyxspoke/core/estimates/speeds.py
+++ b/src/onyxspoke/core/estimates/speeds.py
@@ -125,7 +125,7 @@
         """Store the previous holder's speeds for workers that are not listed yet."""
         self._restored = restored
 
-    def begin_life(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
+    def begin_incarnation(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
         """Return the speed of a new incarnation, initially that of its record or its kind."""
         speed = WorkerSpeed(worker_id, born_ms, kind)
         restored = self._restored.pop(worker_id, None)
--- a/src/onyxspoke/core/estimates/work.py
+++ b/src/onyxspoke/core/estimates/work_model.py
@@ -115,9 +115,9 @@
 
 
 #: The model that leaves callers' estimates unchanged.
-UNLEARNED_WORK = WorkModel("")
+DEFAULT_WORK_MODEL = WorkModel("")
 
 
-def unlearned_work(_queue: str, _tenant: str) -> WorkModel:
+def default_work_model(_queue: str, _tenant: str) -> WorkModel:
     """Return the model that leaves callers' estimates unchanged."""
-    return UNLEARNED_WORK
+    return DEFAULT_WORK_MODEL
--- a/src/onyxspoke/core/tenants/keys.py
+++ b/src/onyxspoke/core/tenants/keys.py
@@ -20,15 +20,17 @@
 class KeyVerdict(Enum):
     """The result of checking the key of a call.
 
-    ``LOOK_FIRST``: the newest configuration must be read before the call is answered.
-    ``UNPROVEN``: the configuration may be out of date, and the newest one cannot be read.
+    ``CONFIGURATION_REFRESH_NEEDED``: the newest configuration must be read before the call is
+    answered.
+    ``CONFIGURATION_STALE``: the configuration may be out of date, and the newest one cannot be
+    read.
     """
 
     ADMITTED = "admitted"
     MISSING = "missing"
     UNKNOWN = "unknown"
-    LOOK_FIRST = "look_first"
-    UNPROVEN = "unproven"
+    CONFIGURATION_REFRESH_NEEDED = "look_first"
+    CONFIGURATION_STALE = "unproven"
 
 
 class Credential(msgspec.Struct, frozen=True):
@@ -59,12 +61,12 @@
         return self.owners.get(credential.key)
 
 
-def judge_key(
+def check_key(
     credential: Credential,
     ring: KeyRing,
     configuration_age_seconds: float,
     maximum_age_seconds: float,
-    was_looked_at: bool = False,
+    was_configuration_refreshed: bool = False,
 ) -> KeyVerdict:
     """Return the verdict on the key of a call.
 
@@ -74,18 +76,22 @@
         Seconds since the node's configuration was last known to be the newest version.
     maximum_age_seconds : float
         Seconds for which the configuration is trusted without a new confirmation.
-    was_looked_at : bool
+    was_configuration_refreshed : bool
         Whether the newest version was read after the call arrived.
     """
     if not credential.key:
         return KeyVerdict.MISSING
     if ring.tenant_of(credential) is not None:
-        is_trusted = was_looked_at or configuration_age_seconds <= maximum_age_seconds
-        return KeyVerdict.ADMITTED if is_trusted else KeyVerdict.LOOK_FIRST
-    return KeyVerdict.UNKNOWN if was_looked_at else KeyVerdict.LOOK_FIRST
+        is_trusted = was_configuration_refreshed or configuration_age_seconds <= maximum_age_seconds
+        return KeyVerdict.ADMITTED if is_trusted else KeyVerdict.CONFIGURATION_REFRESH_NEEDED
+    return (
+        KeyVerdict.UNKNOWN
+        if was_configuration_refreshed
+        else KeyVerdict.CONFIGURATION_REFRESH_NEEDED
+    )
 
 
-def may_see(owner: TenantName, caller: TenantName) -> bool:
+def may_access_job(owner: TenantName, caller: TenantName) -> bool:
     """Return whether a caller may see and cancel a job.
 
     A job without an owner was submitted on a route without keys, or before the cell had tenants.
--- a/src/onyxspoke/core/tenants/policy.py
+++ b/src/onyxspoke/core/tenants/policy.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 
 TenantName = str
 
@@ -17,10 +17,10 @@
     weight : float
         The tenant's fair share in jobs per second: in a full cell these jobs go before jobs of
         tenants that are over their share.
-    quota : Needs
+    quota : ResourceVector
         The resources that the tenant's runs may use on all workers; an amount of 0 sets no limit.
     """
 
     name: TenantName
     weight: float = 1.0
-    quota: Needs = Needs()
+    quota: ResourceVector = ResourceVector()
--- a/src/onyxspoke/core/tenants/borrower.py
+++ b/src/onyxspoke/core/tenants/quota_borrower.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from onyxspoke.core.jobs.amounts import bounded, plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import add_vectors, elementwise_minimum
 from onyxspoke.core.shard.log_records import ShardId
-from onyxspoke.core.tenants.bank import QuotaRequest
 from onyxspoke.core.tenants.policy import TenantName
+from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
 #: Seconds between two requests for more, so that jobs that arrive together share a request; and
 #: seconds until a request is repeated that was not granted in full.
@@ -25,8 +25,8 @@
 class _Allocation:
     """The part of a tenant's quota that this shard may use."""
 
-    quota: Needs
-    amount: Needs = field(default_factory=Needs)
+    quota: ResourceVector
+    amount: ResourceVector = field(default_factory=ResourceVector)
     number: int = 0
     sent_at: float = 0.0
     is_waiting: bool = False
@@ -53,23 +53,28 @@
         self._token = token
         self._credits: dict[TenantName, _Allocation] = {}
 
-    def amount(self, tenant: TenantName) -> Needs:
+    def amount(self, tenant: TenantName) -> ResourceVector:
         """Return the resources that a tenant's runs may use in this shard."""
         allocation = self._credits.get(tenant)
-        return Needs() if allocation is None else allocation.amount
-
-    def keep(
-        self, tenant: TenantName, quota: Needs, used: Needs, wanted: Needs, now: float
+        return ResourceVector() if allocation is None else allocation.amount
+
+    def next_request(
+        self,
+        tenant: TenantName,
+        quota: ResourceVector,
+        used: ResourceVector,
+        wanted: ResourceVector,
+        now: float,
     ) -> QuotaRequest | None:
         """Return a request that is due for a tenant, if any.
 
         Parameters
         ----------
-        quota : Needs
+        quota : ResourceVector
             The tenant's quota in force.
-        used : Needs
+        used : ResourceVector
             The resources that the tenant's runs may use in this shard.
-        wanted : Needs
+        wanted : ResourceVector
             The resources of waiting tasks that could start in addition.
         """
         allocation = self._credits.get(tenant)
@@ -78,13 +83,13 @@
         if _lowers_limit(allocation.quota, quota):
             # Other shards may still use loans of the previous quota, so nothing more starts here
             # until the lender has granted an amount under the new quota.
-            allocation.amount = bounded(allocation.amount, used)
+            allocation.amount = elementwise_minimum(allocation.amount, used)
         allocation.quota = quota
         if allocation.is_waiting and now - allocation.sent_at < REPLY_TIMEOUT_SECONDS:
             return None
         allocation.is_waiting = False
-        target = _limit_to_quota(plus(used, wanted), quota)
-        target = Needs(*map(max, target, used))
+        target = _limit_to_quota(add_vectors(used, wanted), quota)
+        target = ResourceVector(*map(max, target, used))
         if allocation.number == 0:
             # A previous holder of this shard may have borrowed quota that nobody returned.
             return self._ask(tenant, allocation, target, used, now)
@@ -98,7 +103,7 @@
             return self._ask(tenant, allocation, target, used, now)
         return self._return_surplus(tenant, allocation, target, used, now)
 
-    def handle_granted(self, request: QuotaRequest, amount: Needs, now: float) -> bool:
+    def handle_granted(self, request: QuotaRequest, amount: ResourceVector, now: float) -> bool:
         """Store the granted amount; return whether any resource of it has grown."""
         allocation = self._credits.get(request.tenant)
         if allocation is None or request.number != allocation.number:
@@ -121,7 +126,12 @@
             allocation.next_at = now + RETRY_SECONDS
 
     def _return_surplus(
-        self, tenant: TenantName, allocation: _Allocation, target: Needs, used: Needs, now: float
+        self,
+        tenant: TenantName,
+        allocation: _Allocation,
+        target: ResourceVector,
+        used: ResourceVector,
+        now: float,
     ) -> QuotaRequest | None:
         if allocation.amount == target:
             allocation.surplus_since = None
@@ -134,27 +144,34 @@
         return self._ask(tenant, allocation, target, used, now)
 
     def _ask(
-        self, tenant: TenantName, allocation: _Allocation, target: Needs, used: Needs, now: float
+        self,
+        tenant: TenantName,
+        allocation: _Allocation,
+        target: ResourceVector,
+        used: ResourceVector,
+        now: float,
     ) -> QuotaRequest:
         allocation.number += 1
         allocation.sent_at = now
         allocation.is_waiting = True
         # Quota that this request returns is not used any more, even if the request is lost.  After
         # a partial grant all unused quota is offered, because another shard may wait longer.
-        allocation.amount = bounded(allocation.amount, used if allocation.is_short else target)
+        allocation.amount = elementwise_minimum(
+            allocation.amount, used if allocation.is_short else target
+        )
         return QuotaRequest(
             tenant=tenant,
             shard=self._shard,
             token=self._token,
             number=allocation.number,
             amount=target,
-            kept=Needs(*map(max, used, allocation.amount)),
+            retained=ResourceVector(*map(max, used, allocation.amount)),
         )
 
 
-def _limit_to_quota(amount: Needs, quota: Needs) -> Needs:
+def _limit_to_quota(amount: ResourceVector, quota: ResourceVector) -> ResourceVector:
     """Return an amount capped at the quota, where the quota sets a limit."""
-    return Needs(
+    return ResourceVector(
         *(
             min(current, limit) if limit else current
             for current, limit in zip(amount, quota, strict=True)
@@ -162,7 +179,7 @@
     )
 
 
-def _lowers_limit(previous_quota: Needs, quota: Needs) -> bool:
+def _lowers_limit(previous_quota: ResourceVector, quota: ResourceVector) -> bool:
     """Return whether a quota has a lower limit than the previous one for any resource."""
     return any(
         limit and (not previous_limit or limit < previous_limit)
--- a/src/onyxspoke/core/tenants/bank.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.amounts import minus, plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import add_vectors, subtract_vectors
 from onyxspoke.core.shard.log_records import ShardId
 from onyxspoke.core.tenants.policy import TenantName
 
@@ -33,21 +33,22 @@
 
     token: int
     number: int
-    amount: Needs
+    amount: ResourceVector
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """A request of a shard's holder to replace its loan of a tenant's quota by another amount.
 
-    The shard keeps using ``kept`` until the answer, so that part is not lent to others meanwhile.
+    The shard keeps using ``retained`` until the answer, so that part is not lent to others
+    meanwhile.
     """
 
     tenant: TenantName
     shard: ShardId
     token: int
     number: int
-    amount: Needs
-    kept: Needs = Needs()
+    amount: ResourceVector
+    retained: ResourceVector = ResourceVector()
 
 
 @dataclass(slots=True)
@@ -56,8 +57,8 @@
 
     since: float
     asked_at: float
-    wanted: Needs
-    used: Needs
+    wanted: ResourceVector
+    used: ResourceVector
 
 
 @dataclass(slots=True)
@@ -65,14 +66,16 @@
     loans: dict[ShardId, Loan] = field(default_factory=dict)
     unmet_requests: dict[ShardId, _UnmetRequest] = field(default_factory=dict)
 
-    def lent(self, excluded_shard: ShardId | None = None) -> Needs:
-        total = Needs()
+    def lent(self, excluded_shard: ShardId | None = None) -> ResourceVector:
+        total = ResourceVector()
         for shard, loan in self.loans.items():
             if shard != excluded_shard:
-                total = plus(total, loan.amount)
+                total = add_vectors(total, loan.amount)
         return total
 
-    def record_unmet(self, shard: ShardId, wanted: Needs, used: Needs, now: float) -> None:
+    def record_unmet(
+        self, shard: ShardId, wanted: ResourceVector, used: ResourceVector, now: float
+    ) -> None:
         """Record an unmet request; its waiting time restarts if the shard has started more work."""
         unmet = self.unmet_requests.get(shard)
         if unmet is None:
@@ -82,17 +85,19 @@
             unmet.since = now
         unmet.asked_at, unmet.wanted, unmet.used = now, wanted, used
 
-    def reserved_for_older_requests(self, shard: ShardId) -> Needs:
+    def reserved_for_older_requests(self, shard: ShardId) -> ResourceVector:
         """Return the resources that shards with older unmet requests still lack."""
         own_request = self.unmet_requests.get(shard)
-        kept = Needs()
+        retained = ResourceVector()
         for other, unmet in self.unmet_requests.items():
             if other == shard or (own_request is not None and own_request.since <= unmet.since):
                 continue
             loan = self.loans.get(other)
             allocated = loan.amount if loan is not None else unmet.used
-            kept = plus(kept, Needs(*map(_missing, unmet.wanted, allocated)))
-        return kept
+            retained = add_vectors(
+                retained, ResourceVector(*map(_missing, unmet.wanted, allocated))
+            )
+        return retained
 
     def drop_expired(self, now: float) -> None:
         """Drop unmet requests that were not repeated in time."""
@@ -101,7 +106,7 @@
                 del self.unmet_requests[shard]
 
 
-class QuotaBank:
+class QuotaLender:
     """Lends the quotas of tenants whose home shard this is.
 
     Free quota goes to the oldest unmet request until that request is granted in full.  Otherwise
@@ -116,35 +121,41 @@
         #: Tenants whose loans have changed since they were last recorded.
         self.dirty: dict[TenantName, None] = {}
 
-    def lent(self, tenant: TenantName) -> Needs:
+    def lent(self, tenant: TenantName) -> ResourceVector:
         """Return the total of a tenant's quota that is lent."""
         account = self._accounts.get(tenant)
-        return Needs() if account is None else account.lent()
+        return ResourceVector() if account is None else account.lent()
 
-    def kept_back(self, tenant: TenantName) -> Needs:
+    def reserved_for_other_shards(self, tenant: TenantName) -> ResourceVector:
         """Return the quota that the home shard leaves to older requests of other shards."""
         account = self._accounts.get(tenant)
-        return Needs() if account is None else account.reserved_for_older_requests(self._home)
+        return (
+            ResourceVector() if account is None else account.reserved_for_older_requests(self._home)
+        )
 
-    def note_home(self, tenant: TenantName, wanted: Needs, used: Needs, now: float) -> None:
+    def update_home_demand(
+        self, tenant: TenantName, wanted: ResourceVector, used: ResourceVector, now: float
+    ) -> None:
         """Record the resources that the home shard wants in addition to those in use."""
         account = self._accounts.get(tenant)
         if account is None:
             return
         account.drop_expired(now)
         if any(wanted):
-            account.record_unmet(self._home, plus(used, wanted), used, now)
+            account.record_unmet(self._home, add_vectors(used, wanted), used, now)
         else:
             account.unmet_requests.pop(self._home, None)
 
-    def request(self, request: QuotaRequest, quota: Needs, used: Needs, now: float) -> Needs:
+    def request(
+        self, request: QuotaRequest, quota: ResourceVector, used: ResourceVector, now: float
+    ) -> ResourceVector:
         """Return the amount that the requesting shard may use after the loan is recorded.
 
         Parameters
         ----------
-        quota : Needs
+        quota : ResourceVector
             The tenant's quota; an amount of 0 sets no limit.
-        used : Needs
+        used : ResourceVector
             The resources that the home shard's runs may use.
         """
         account = self._accounts.setdefault(request.tenant, _Account())
@@ -158,34 +169,41 @@
             return (
                 previous_loan.amount
                 if request_order == (previous_loan.token, previous_loan.number)
-                else Needs()
+                else ResourceVector()
             )
         if previous_loan is None and not any(request.amount):
-            return Needs()
+            return ResourceVector()
         granted = self._grant(account, request, quota, used, now)
         account.loans[request.shard] = Loan(request.token, request.number, granted)
         self.dirty[request.tenant] = None
         return granted
 
     def _grant(
-        self, account: _Account, request: QuotaRequest, quota: Needs, used: Needs, now: float
-    ) -> Needs:
+        self,
+        account: _Account,
+        request: QuotaRequest,
+        quota: ResourceVector,
+        used: ResourceVector,
+        now: float,
+    ) -> ResourceVector:
         """Return the part of the request that is free and not reserved for older requests."""
         account.drop_expired(now)
-        free = minus(minus(quota, used), account.lent(excluded_shard=request.shard))
-        free = minus(free, account.reserved_for_older_requests(request.shard))
-        granted = Needs(
+        free = subtract_vectors(
+            subtract_vectors(quota, used), account.lent(excluded_shard=request.shard)
+        )
+        free = subtract_vectors(free, account.reserved_for_older_requests(request.shard))
+        granted = ResourceVector(
             *(
-                wanted if not limit else max(kept, min(wanted, free_amount))
-                for wanted, limit, free_amount, kept in zip(
-                    request.amount, quota, free, request.kept, strict=True
+                wanted if not limit else max(retained, min(wanted, free_amount))
+                for wanted, limit, free_amount, retained in zip(
+                    request.amount, quota, free, request.retained, strict=True
                 )
             )
         )
         if granted == request.amount:
             account.unmet_requests.pop(request.shard, None)
         else:
-            account.record_unmet(request.shard, request.amount, request.kept, now)
+            account.record_unmet(request.shard, request.amount, request.retained, now)
         return granted
 
     # Records
--- a/src/onyxspoke/core/tenants/ledger.py
+++ b/src/onyxspoke/core/tenants/quota_usage.py
@@ -8,38 +8,43 @@
 
 from collections.abc import Callable
 
-from onyxspoke.core.jobs.amounts import minus, plus, slots_within, times
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import (
+    add_vectors,
+    count_fitting_tasks,
+    scale_vector,
+    subtract_vectors,
+)
 from onyxspoke.core.tenants.policy import TenantName
 
 #: An amount that stands for no limit.
 UNLIMITED = 1 << 60
 
 
-class QuotaLedger:
+class QuotaUsage:
     """The resources that each tenant's runs use on all workers of a shard."""
 
     def __init__(self) -> None:
-        self._used: dict[TenantName, Needs] = {}
+        self._used: dict[TenantName, ResourceVector] = {}
 
-    def used(self, tenant: TenantName) -> Needs:
+    def used(self, tenant: TenantName) -> ResourceVector:
         """Return the resources that a tenant's runs use."""
-        return self._used.get(tenant, Needs())
+        return self._used.get(tenant, ResourceVector())
 
-    def add(self, tenant: TenantName, needs: Needs) -> None:
+    def add(self, tenant: TenantName, needs: ResourceVector) -> None:
         """Add the resources of a run that may execute from now on."""
-        self._used[tenant] = plus(self.used(tenant), needs)
+        self._used[tenant] = add_vectors(self.used(tenant), needs)
 
-    def remove(self, tenant: TenantName, needs: Needs) -> None:
+    def remove(self, tenant: TenantName, needs: ResourceVector) -> None:
         """Subtract the resources of a run that has certainly ended."""
-        remaining = minus(self.used(tenant), needs)
+        remaining = subtract_vectors(self.used(tenant), needs)
         if any(remaining):
             self._used[tenant] = remaining
         else:
             self._used.pop(tenant, None)
 
 
-class QuotaPass:
+class QuotaBudget:
     """The resources that tenants may still use for new tasks in one placement pass.
 
     Parameters
@@ -47,43 +52,47 @@
     allocation_of : callable
         Returns the resources that a tenant's runs may use in this shard; ``UNLIMITED`` sets no
         limit.
-    ledger : QuotaLedger
+    ledger : QuotaUsage
         The resources in use.
-    usage_in_doubt : dict of TenantName to Needs
+    usage_in_doubt : dict of TenantName to ResourceVector
         Further resources that may be in use on workers that have not reported their runs yet.
     """
 
     def __init__(
         self,
-        allocation_of: Callable[[TenantName], Needs],
-        ledger: QuotaLedger,
-        usage_in_doubt: dict[TenantName, Needs],
+        allocation_of: Callable[[TenantName], ResourceVector],
+        ledger: QuotaUsage,
+        usage_in_doubt: dict[TenantName, ResourceVector],
     ) -> None:
         self._allocation_of = allocation_of
         self._ledger = ledger
         self._usage_in_doubt = usage_in_doubt
-        self._remaining: dict[TenantName, Needs] = {}
+        self._remaining: dict[TenantName, ResourceVector] = {}
 
-    def slots(self, tenant: TenantName, needs: Needs) -> int:
+    def slots(self, tenant: TenantName, needs: ResourceVector) -> int:
         """Return how many more tasks with these needs a tenant may start."""
-        return slots_within(self._remaining_for(tenant), needs)
+        return count_fitting_tasks(self._remaining_for(tenant), needs)
 
-    def take(self, tenant: TenantName, needs: Needs, count: int) -> None:
+    def take(self, tenant: TenantName, needs: ResourceVector, count: int) -> None:
         """Subtract the resources of ``count`` tasks that start."""
-        self._remaining[tenant] = minus(self._remaining_for(tenant), times(needs, count))
+        self._remaining[tenant] = subtract_vectors(
+            self._remaining_for(tenant), scale_vector(needs, count)
+        )
 
-    def _remaining_for(self, tenant: TenantName) -> Needs:
+    def _remaining_for(self, tenant: TenantName) -> ResourceVector:
         remaining = self._remaining.get(tenant)
         if remaining is None:
-            remaining = minus(self._allocation_of(tenant), self._ledger.used(tenant))
-            remaining = minus(remaining, self._usage_in_doubt.get(tenant, Needs()))
+            remaining = subtract_vectors(self._allocation_of(tenant), self._ledger.used(tenant))
+            remaining = subtract_vectors(
+                remaining, self._usage_in_doubt.get(tenant, ResourceVector())
+            )
             self._remaining[tenant] = remaining
         return remaining
 
 
-def no_quotas() -> QuotaPass:
+def unlimited_quotas() -> QuotaBudget:
     """Return the budget of a cell without tenants, which has no limits."""
-    return QuotaPass(lambda _tenant: _NO_LIMIT, QuotaLedger(), {})
+    return QuotaBudget(lambda _tenant: _NO_LIMIT, QuotaUsage(), {})
 
 
-_NO_LIMIT = Needs(UNLIMITED, UNLIMITED, UNLIMITED)
+_NO_LIMIT = ResourceVector(UNLIMITED, UNLIMITED, UNLIMITED)
--- a/src/onyxspoke/core/tenants/shares.py
+++ b/src/onyxspoke/core/tenants/share_meter.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self._buckets: dict[TenantName, _Bucket] = {}
 
-    def take(self, policy: TenantPolicy | None, shards: int, now: float) -> bool:
+    def consume(self, policy: TenantPolicy | None, shards: int, now: float) -> bool:
         """Return whether a tenant is entitled to a job that is submitted now.
 
         Parameters
@@ -56,12 +56,12 @@
         bucket.entitled += 1
         return True
 
-    def owed_count(self, name: TenantName) -> int:
+    def entitled_count(self, name: TenantName) -> int:
         """Return how many of a tenant's jobs were entitled."""
         bucket = self._buckets.get(name)
         return 0 if bucket is None else bucket.entitled
 
-    def beyond_count(self, name: TenantName) -> int:
+    def over_share_count(self, name: TenantName) -> int:
         """Return how many of a tenant's jobs were over its share."""
         bucket = self._buckets.get(name)
         return 0 if bucket is None else bucket.over_share
