--- a/features/steps/estimates_cluster_steps.py
+++ b/features/steps/estimates_cluster_steps.py
@@ -1,11 +1,11 @@
-"""Steps about learned durations of a cluster whose holder goes."""
+"""Steps about learned durations in a cluster whose holder is killed."""
 
 from __future__ import annotations
 
 from typing import Any
 
 from behave import given, then, when
-from estimates_shop import NEAR
+from estimates_simulation import RELATIVE_TOLERANCE
 
 from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.estimates.record import (
@@ -57,7 +57,7 @@
     return holder
 
 
-def _held_durations(cluster: Any) -> DurationEstimator:
+def _holder_durations(cluster: Any) -> DurationEstimator:
     return _holder(cluster).node.seats[0].scheduler.context.durations
 
 
@@ -66,8 +66,8 @@
     " and appended at most one record in {pause:d} seconds"
 )
 def _cluster_expects(context: Any, times: float, pause: int) -> None:
-    expected = _held_durations(context.cluster).expected("normal", "", 500.0)
-    assert abs(expected.median_seconds / (0.5 * times) - 1.0) < NEAR, expected
+    expected = _holder_durations(context.cluster).expected("normal", "", 500.0)
+    assert abs(expected.median_seconds / (0.5 * times) - 1.0) < RELATIVE_TOLERANCE, expected
     sent = {(epoch, sequence): record for epoch, sequence, record in context.recorded}
     seconds = context.cluster.time.now()
     assert 1 <= len(sent) <= 1 + seconds / pause, (len(sent), seconds)
@@ -82,6 +82,6 @@
 
 @then("its next holder expects {times:g} times the estimate before any task has ended")
 def _next_expects(context: Any, times: float) -> None:
-    expected = _held_durations(context.cluster).expected("normal", "", 500.0)
-    assert abs(expected.median_seconds / (0.5 * times) - 1.0) < NEAR, expected
+    expected = _holder_durations(context.cluster).expected("normal", "", 500.0)
+    assert abs(expected.median_seconds / (0.5 * times) - 1.0) < RELATIVE_TOLERANCE, expected
     assert not context.cluster.audit.findings, context.cluster.audit.findings
--- a/features/steps/estimates_decision_steps.py
+++ b/features/steps/estimates_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what learned durations change in decisions, and how far forecasts are off."""
+"""Steps about the effect of learned durations on decisions, and about forecast errors."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import msgspec
 from behave import given, then, when
-from estimates_shop import TICK_SECONDS, Shop
+from estimates_simulation import TICK_SECONDS, EstimatesSimulation
 from hypothesis import Phase, settings
 from hypothesis import given as drawn_from
 from hypothesis import strategies as st
@@ -20,18 +20,18 @@
 from onyxspoke.core.jobs.states import JobState, RunEnd, RunState, TaskState
 from onyxspoke.core.placement.runs import GangRun, Run
 
-#: A history is long, and shrinking one takes minutes.
+#: Shrinking a long workload would take minutes.
 WITHOUT_SHRINKING = (Phase.explicit, Phase.generate)
 
 _jobs = st.lists(
     st.tuples(
-        st.integers(0, 2),  # queue, by priority
-        st.integers(1, 6),  # tasks
+        st.integers(0, 2),  # priority of the queue
+        st.integers(1, 6),  # number of tasks
         st.integers(1, 6),  # processors
-        st.integers(3, 40),  # estimate, in tenths of a second
-        st.booleans(),  # a gang
-        st.integers(0, 12),  # tenths of a second until the next
-        st.integers(5, 30),  # what it takes, in tenths of its estimate
+        st.integers(3, 40),  # estimate in tenths of a second
+        st.booleans(),  # whether the step is a gang
+        st.integers(0, 12),  # tenths of a second until the next job
+        st.integers(5, 30),  # actual duration in tenths of the estimate
     ),
     min_size=4,
     max_size=40,
@@ -39,22 +39,22 @@
 
 
 class _Played:
-    """A placer, its workers and a history; what started where and when."""
+    """Simulates a workload on a placer and its workers, and records where and when tasks start."""
 
     def __init__(self, durations: DurationEstimator, unlike: bool, lag: float) -> None:
         self.scene = _Scene()
         self.durations = durations
         self.lag = lag
-        self.slowness: dict[str, float] = {}
+        self.slowdown_factors: dict[str, float] = {}
         self.runs: dict[Run, float] = {}
         self.starts: list[tuple[float, str, int, str]] = []
         for number in range(6):
             name = f"w{number}"
             self.scene.add_worker(name, 10)
             self.scene.table.workers[name].speed = durations.begin_incarnation(name, 0, "", 0.0)
-            self.slowness[name] = 2.5 if unlike and number % 3 == 0 else 1.0
+            self.slowdown_factors[name] = 2.5 if unlike and number % 3 == 0 else 1.0
 
-    def hand_in(self, number: int, drawn: tuple[int, int, int, int, bool, int, int]) -> None:
+    def submit(self, number: int, drawn: tuple[int, int, int, int, bool, int, int]) -> None:
         priority, tasks, processors, tenths, is_gang, _pause, takes = drawn
         scene = self.scene
         step = scene.add_step(
@@ -79,7 +79,7 @@
             scene.now = round(scene.now + TICK_SECONDS, 6)
             while waiting and next_at <= scene.now:
                 number, drawn = waiting.pop(0)
-                self.hand_in(number, drawn)
+                self.submit(number, drawn)
                 next_at += drawn[5] / 10.0
             self._pass(holds)
         return self.starts
@@ -120,7 +120,9 @@
             return
         step = run.task.step
         times = 1.0 if holds else self.takes[step.job.job_id]
-        whole = step.spec.estimated_ms / 1_000.0 * times * self.slowness[run.worker.worker_id]
+        whole = (
+            step.spec.estimated_ms / 1_000.0 * times * self.slowdown_factors[run.worker.worker_id]
+        )
         self.runs[run] += TICK_SECONDS
         percent = min(100, int(100 * self.runs[run] / whole))
         if percent // 10 != run.percent // 10 and percent < 100:
@@ -140,8 +142,8 @@
         self.scene.table.note_capacity_gain(run.worker)
 
 
-@when("{count:d} random histories of sound work are played with learning and without")
-def _alike(context: Any, count: int) -> None:
+@when("{count:d} random workloads with exact estimates are simulated with and without learning")
+def _equal_decisions(context: Any, count: int) -> None:
     context.pairs = []
 
     @settings(max_examples=count, phases=WITHOUT_SHRINKING)
@@ -159,8 +161,11 @@
     assert known_count > count, known_count
 
 
-@when("{count:d} random histories of unlike work are played with the part off and without learning")
-def _off(context: Any, count: int) -> None:
+@when(
+    "{count:d} random workloads with wrong estimates are simulated"
+    " with learning disabled and without runs observed"
+)
+def _learning_disabled(context: Any, count: int) -> None:
     context.pairs = []
 
     @settings(max_examples=count, phases=WITHOUT_SHRINKING)
@@ -175,7 +180,7 @@
 
 
 class _Unaware(DurationEstimator):
-    """The naive version: told of nothing."""
+    """A reference version that ignores all observations."""
 
     def observe_progress(self, run: Run, now: float) -> None:
         pass
@@ -194,47 +199,49 @@
     assert starts > 1_000, starts
 
 
-# How far forecasts are off
+# Forecast errors
 
 
-OFF = {"tenth": 0.1, "half": 0.5, "sound": 1.0, "double": 1.9}
+QUEUE_ERRORS = {"tenth": 0.1, "half": 0.5, "sound": 1.0, "double": 1.9}
 
 
-@given("a cell of {count:d} unlike workers and four queues whose estimates are off by up to 0.9")
-def _unlike_cell(context: Any, count: int) -> None:
-    shop = context.shop = Shop()
+@given(
+    "a cell of {count:d} workers of two speeds and four queues whose estimates are off by up to 0.9"
+)
+def _cell_of_two_speeds(context: Any, count: int) -> None:
+    simulation = context.simulation = EstimatesSimulation()
     for number in range(count):
         name = f"w{number}"
-        shop.add_worker(name)
-        shop.slowness[name] = 2.0 if number % 5 == 0 else 1.0
-    shop.tail = 2
+        simulation.add_worker(name)
+        simulation.slowdown_factors[name] = 2.0 if number % 5 == 0 else 1.0
+    simulation.long_task_percent = 2
 
 
 @when("{jobs:d} jobs are run in it")
 def _run_in_cell(context: Any, jobs: int) -> None:
-    shop = context.shop
-    began: list[tuple[str, Run, float, float]] = []
+    simulation = context.simulation
+    forecasts: list[tuple[str, Run, float, float]] = []
     source = random.Random(11)
     for number in range(jobs):
-        queue = source.choice(list(OFF))
+        queue = source.choice(list(QUEUE_ERRORS))
         seconds = source.uniform(2.0, 6.0)
-        times = OFF[queue] * math.exp(source.gauss(0.0, 0.15))
+        times = QUEUE_ERRORS[queue] * math.exp(source.gauss(0.0, 0.15))
 
         def note(run: Run, queue: str = queue, seconds: float = seconds) -> None:
             worker = run.worker.worker_id
-            learned = shop.durations.expected(queue, "", seconds * 1_000.0, worker)
-            began.append((queue, run, seconds, learned.median_seconds))
+            learned = simulation.durations.expected(queue, "", seconds * 1_000.0, worker)
+            forecasts.append((queue, run, seconds, learned.median_seconds))
 
         late = number >= jobs // 2
-        step = shop.start(source.randint(1, 12), seconds, queue=queue, times=times)
+        step = simulation.start(source.randint(1, 12), seconds, queue=queue, times=times)
         if late:
-            for run in [run for run in shop.runs if run.task.step is step]:
+            for run in [run for run in simulation.runs if run.task.step is step]:
                 note(run)
-        shop.pass_time(0.25)
-    shop.drain()
-    context.errors = {queue: ([], []) for queue in OFF}
-    for queue, run, estimate, learned in began:
-        actual = run.usage / 1e6 * shop.slowness[run.worker.worker_id]
+        simulation.pass_time(0.25)
+    simulation.drain()
+    context.errors = {queue: ([], []) for queue in QUEUE_ERRORS}
+    for queue, run, estimate, learned in forecasts:
+        actual = run.usage / 1e6 * simulation.slowdown_factors[run.worker.worker_id]
         before, after = context.errors[queue]
         before.append(abs(math.log(actual / estimate)))
         after.append(abs(math.log(actual / learned)))
@@ -242,11 +249,11 @@
 
 @then("forecasts are off by less than half as much as callers' estimates, and in no queue by more")
 def _errors(context: Any) -> None:
-    befores = [error for before, _after in context.errors.values() for error in before]
-    afters = [error for _before, after in context.errors.values() for error in after]
+    errors_before = [error for before, _after in context.errors.values() for error in before]
+    errors_after = [error for _before, after in context.errors.values() for error in after]
     figures = {
         queue: (round(statistics.mean(before), 3), round(statistics.mean(after), 3))
         for queue, (before, after) in context.errors.items()
     }
-    assert statistics.mean(afters) < 0.5 * statistics.mean(befores), figures
+    assert statistics.mean(errors_after) < 0.5 * statistics.mean(errors_before), figures
     assert all(after <= before for before, after in figures.values()), figures
--- a/features/steps/estimates_shop.py
+++ b/features/steps/estimates_simulation.py
@@ -1,4 +1,4 @@
-"""Workers and a history of runs in virtual time, from which durations are learned."""
+"""Simulates workers and runs in virtual time, from which durations are learned."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from onyxspoke.core.shard.load_options import LoadOptions
 
 TICK_SECONDS = 0.05
-#: Between two lists of a worker's runs, and from an end to the list that has it.
-LOOK_SECONDS = 0.3
+#: Interval between two lists of a worker's runs, and delay from a run's end to the list with it.
+POLL_SECONDS = 0.3
 LAG_SECONDS = 0.04
 QUEUE = QueuePolicy(name="letters", service="service", stretch=2.0, target_latency_ms=1_000)
-#: A forecast this near is as good as the buckets and the lag of ends allow.
-NEAR = 0.16
+#: Relative tolerance of forecasts, which the bucket width and the lag of ends require.
+RELATIVE_TOLERANCE = 0.16
 
 
-class Shop:
-    """Workers that run tasks, and a holder that sees their progress and their ends."""
+class EstimatesSimulation:
+    """Workers that run tasks, and a holder that observes the progress and ends of runs."""
 
     def __init__(self, learns: bool = True) -> None:
         load = LoadOptions(learned_estimates=learns)
@@ -39,23 +39,23 @@
         self.now = 100.0
         self.random = random.Random(7)
         self.workers: dict[str, Worker] = {}
-        self.slowness: dict[str, float] = {}
+        self.slowdown_factors: dict[str, float] = {}
         self.times: dict[tuple[str, str], float] = {}
-        self.tail = 0
-        self.failing = 0
+        self.long_task_percent = 0
+        self.failing_percent = 0
         self.runs: dict[Run, float] = {}
         self.ended: list[Run] = []
-        self.told: list[DecisionLogLine] = []
-        self.most_told = 0
+        self.logged_lines: list[DecisionLogLine] = []
+        self.most_logged_at_once = 0
         self.count = 0
-        self._looked_at = 0.0
+        self._polled_at = 0.0
 
     @property
     def durations(self) -> DurationEstimator:
         return self.context.durations
 
     def add_worker(self, name: str, kind: str = "", rack: str = "one") -> None:
-        born = 1_000 + len(self.workers)
+        started_ms = 1_000 + len(self.workers)
         record = WorkerRecord(
             worker_id=name,
             host="",
@@ -65,10 +65,10 @@
             capacity=ResourceVector(64_000, 64_000, 0),
             kind=kind,
             rack=rack,
-            born_ms=born,
+            born_ms=started_ms,
         )
         self.workers[name] = worker = Worker(record, 0.0)
-        worker.speed = self.durations.begin_incarnation(name, born, kind, self.now)
+        worker.speed = self.durations.begin_incarnation(name, started_ms, kind, self.now)
 
     def start(
         self,
@@ -80,7 +80,7 @@
         prepare: Callable[[Run], None] = lambda run: None,
         **traits: Any,
     ) -> StepProgress:
-        """Begin a job whose tasks are dealt out over the workers."""
+        """Start a job whose tasks are distributed over the workers."""
         self.count += 1
         step_spec = StepSpec(task_count=tasks, estimated_ms=round(seconds * 1_000), **traits)
         policy = msgspec.structs.replace(QUEUE, name=queue)
@@ -104,7 +104,11 @@
             run.state = RunState.RUNNING
             run.ordered_at = run.confirmed_at = self.now
             prepare(run)
-            work = seconds * times * (10.0 if self.random.randrange(100) < self.tail else 1.0)
+            work = (
+                seconds
+                * times
+                * (10.0 if self.random.randrange(100) < self.long_task_percent else 1.0)
+            )
             self.runs[run] = work
             run.usage = round(work * 1e6)
         return step
@@ -115,28 +119,28 @@
             self.now += TICK_SECONDS
             for run in list(self.runs):
                 self._advance(run)
-            if self.now - self._looked_at >= LOOK_SECONDS:
-                self._looked_at = self.now
+            if self.now - self._polled_at >= POLL_SECONDS:
+                self._polled_at = self.now
                 for run in self.runs:
-                    self._look_at(run)
-            self.keep()
+                    self._poll(run)
+            self.tick()
 
-    def keep(self) -> None:
+    def tick(self) -> None:
         self.keeper.tick(self.now)
-        told = [item for item in self.context.actions if isinstance(item, DecisionLogLine)]
-        self.told += told
-        self.most_told = max(self.most_told, len(told))
+        logged_lines = [item for item in self.context.actions if isinstance(item, DecisionLogLine)]
+        self.logged_lines += logged_lines
+        self.most_logged_at_once = max(self.most_logged_at_once, len(logged_lines))
         self.context.actions.clear()
 
     def _advance(self, run: Run) -> None:
         work = run.usage / 1e6
-        self.runs[run] -= TICK_SECONDS / self.slowness.get(run.worker.worker_id, 1.0)
+        self.runs[run] -= TICK_SECONDS / self.slowdown_factors.get(run.worker.worker_id, 1.0)
         if run.gang is not None:
             if all(self.runs.get(member, 0.0) <= 0.0 for member in run.gang.members):
                 self._end(run, RunEnd.DONE)
         elif self.runs[run] <= 1e-9:
             self._end(run, RunEnd.DONE)
-        elif self.runs[run] <= work / 2 and self.random.randrange(100) < self.failing:
+        elif self.runs[run] <= work / 2 and self.random.randrange(100) < self.failing_percent:
             self._end(run, RunEnd.FAILED)
         elif self.runs[run] <= work / 2:
             run.usage = round(work * 1e6)
@@ -147,7 +151,7 @@
         self.durations.observe_run_end(run, end, self.now + LAG_SECONDS)
         run.state = RunState.ENDED
 
-    def _look_at(self, run: Run) -> None:
+    def _poll(self, run: Run) -> None:
         work = run.usage / 1e6
         percent = min(100, int(100 * (1.0 - self.runs[run] / work)))
         run.listed_at = self.now
@@ -161,9 +165,9 @@
             self.pass_time(1.0)
         self.pass_time(1.0)
 
-    def run_jobs(self, jobs: int, tasks: int, seconds: float, **how: Any) -> None:
+    def run_jobs(self, jobs: int, tasks: int, seconds: float, **options: Any) -> None:
         for _ in range(jobs):
-            self.start(tasks, seconds, **how)
+            self.start(tasks, seconds, **options)
             self.pass_time(0.2)
         self.drain()
 
--- a/features/steps/tenant_key_steps.py
+++ b/features/steps/tenant_key_steps.py
@@ -34,24 +34,24 @@
     context.ring = KeyRing({key: "someone"}, is_required=True)
 
 
-@then('a call with the key "{key}", {age:g} s after the last proof, {looked}, is "{verdict}"')
-@then('a call with the key "", {age:g} s after the last proof, {looked}, is "{verdict}"')
-def _verdict(context: Any, age: float, looked: str, verdict: str, key: str = "") -> None:
-    was_configuration_refreshed = looked == "after a look"
+@then('a call with the key "{key}", {age:g} s after the last confirmation, {read}, is "{verdict}"')
+@then('a call with the key "", {age:g} s after the last confirmation, {read}, is "{verdict}"')
+def _verdict(context: Any, age: float, read: str, verdict: str, key: str = "") -> None:
+    was_configuration_refreshed = read == "after a read"
     found = check_key(
         Credential(key), context.ring, age, TRUSTED_SECONDS, was_configuration_refreshed
     )
     assert found.value == verdict, found
 
 
-@then('the key "{key}" is named in logs without any part of it')
+@then('the key "{key}" is logged as a hash without any part of it')
 def _fingerprint(context: Any, key: str) -> None:
     name = Credential(key).fingerprint
     parts = {key[at : at + 4] for at in range(len(key) - 3)}
     assert not any(part in name for part in parts), name
 
 
-@then('the keys "{first}" and "{second}" have different names there')
+@then('the keys "{first}" and "{second}" have different hashes')
 def _differ(context: Any, first: str, second: str) -> None:
     assert Credential(first).fingerprint != Credential(second).fingerprint
 
@@ -89,12 +89,12 @@
     context.cluster.run(0.5)
 
 
-@when('a caller shows "{header}" and hands a job in')
+@when('a caller shows "{header}" and submits a job')
 def _shows(context: Any, header: str) -> None:
     _ask(context, "POST", header, body=SMALL_JOB)
 
 
-@when('a caller shows "{header}" and hands a job in to "{queue}"')
+@when('a caller shows "{header}" and submits a job to "{queue}"')
 def _shows_to(context: Any, header: str, queue: str) -> None:
     _ask(context, "POST", header, queue, SMALL_JOB)
 
@@ -111,9 +111,9 @@
     assert context.simulated.node.open_call_count == count
 
 
-@when('a caller of "{tenant}" hands a job in')
-@when('a caller of "{tenant}" hands the job in')
-def _hands_in(context: Any, tenant: str) -> None:
+@when('a caller of "{tenant}" submits a job')
+@when('a caller of "{tenant}" submits the job')
+def _submits(context: Any, tenant: str) -> None:
     _ask(context, "POST", f"Token {key_of(tenant)}", body=SMALL_JOB)
 
 
@@ -127,10 +127,10 @@
     _ask(context, "DELETE", f"Token {key_of(tenant)}")
 
 
-@then('the job is known as one of "{tenant}"')
+@then('the job belongs to "{tenant}"')
 def _job_of(context: Any, tenant: str) -> None:
-    book = context.cluster.holder().node.seats[0].scheduler.context.job_registry
-    assert book.jobs[FIRST_JOB].spec.tenant == tenant
+    job_registry = context.cluster.holder().node.seats[0].scheduler.context.job_registry
+    assert job_registry.jobs[FIRST_JOB].spec.tenant == tenant
 
 
 @when("its job ends, and another node takes over")
@@ -144,16 +144,16 @@
     _serve(context, next(node for node in cluster.nodes.values() if node.is_up))
 
 
-@given('a version with a key of "{tenant}" that this node has not heard of')
+@given('a version with a key of "{tenant}" that this node has not received')
 def _newer_version(context: Any, tenant: str) -> None:
     feed = context.cluster.configuration
     tenants = (*TENANTS, TenantPolicy(name=tenant, weight=10.0))
-    # Put there without telling the nodes.
+    # The version is stored without notifying the nodes.
     feed.configuration = _with_routes(make_configuration(2, False, tenants))
 
 
-@then("the newest version was looked at {count:d} time")
-def _looked(context: Any, count: int) -> None:
+@then("the newest version was read {count:d} time")
+def _was_read(context: Any, count: int) -> None:
     assert context.client.looks == count, context.client.looks
 
 
@@ -166,34 +166,34 @@
         context.cluster.run(seconds / count)
 
 
-@then("all of them are turned away with status 401 within {seconds:g} seconds")
-def _turned_away(context: Any, seconds: float) -> None:
+@then("all of them are rejected with status 401 within {seconds:g} seconds")
+def _rejected(context: Any, seconds: float) -> None:
     context.cluster.run(seconds)
     assert all(exchange.status == 401 for _at, exchange in context.flood)
 
 
-@then("the newest version was looked at {count:d} times at most")
-def _looked_at_most(context: Any, count: int) -> None:
+@then("the newest version was read {count:d} times at most")
+def _was_read_at_most(context: Any, count: int) -> None:
     assert 0 < context.client.looks <= count, context.client.looks
 
 
-@when('the key of "{tenant}" is withdrawn, and {seconds:g} seconds pass')
-def _withdrawn(context: Any, tenant: str, seconds: float) -> None:
+@when('the key of "{tenant}" is revoked, and {seconds:g} seconds pass')
+def _revoked(context: Any, tenant: str, seconds: float) -> None:
     left = tuple(item for item in TENANTS if item.name != tenant)
     configuration = make_configuration(2, False, left)
     context.cluster.configuration.put(_with_routes(configuration))
     context.cluster.run(seconds)
 
 
-@when("the node hears nothing of the configuration for {seconds:g} seconds")
-def _hears_nothing(context: Any, seconds: float) -> None:
+@when("the node receives no configuration for {seconds:g} seconds")
+def _receives_nothing(context: Any, seconds: float) -> None:
     cluster = context.cluster
     others = [node.host for node in cluster.nodes.values() if node is not context.simulated]
     cluster.cut(context.simulated.host, ["store", *others])
     cluster.run(seconds)
 
 
-@given('a configuration in which the tenants "{first}" and "{second}" name one key')
+@given('a configuration in which the tenants "{first}" and "{second}" have the same key')
 def _two_tenants(context: Any, first: str, second: str) -> None:
     tenants = [{"name": name, "apiKeys": ["k1"]} for name in (first, second)]
     raw = msgspec.json.encode({"version": 3, "routes": [], "tenants": tenants})
@@ -218,7 +218,7 @@
     context.old_progress = msgspec.msgpack.encode([int(JobState.COMPLETED), [], [], True])
 
 
-@then("they are read, and no tenant's")
+@then("they are decoded without a tenant")
 def _read_old(context: Any) -> None:
     spec = decode_spec("key", context.old_spec)
     assert (spec.accepted_at_ms, spec.tenant, spec.is_over_share) == (17, "", False)
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -1,4 +1,4 @@
-"""Steps about tenants' quotas, shares and figures, without a network."""
+"""Steps about tenants' quotas, shares and metrics, without a network."""
 
 from __future__ import annotations
 
@@ -45,27 +45,27 @@
 
 
 @contextmanager
-def _without_count() -> Iterator[None]:
-    with mock.patch.object(QuotaUsage, "add", lambda _ledger, _tenant, _needs: None):
+def _without_counting() -> Iterator[None]:
+    with mock.patch.object(QuotaUsage, "add", lambda _usage, _tenant, _needs: None):
         yield
 
 
 @contextmanager
-def _without_count_in_pass() -> Iterator[None]:
-    with mock.patch.object(QuotaBudget, "take", lambda _pass, _tenant, _needs, _count: None):
+def _without_counting_in_pass() -> Iterator[None]:
+    with mock.patch.object(QuotaBudget, "take", lambda _budget, _tenant, _needs, _count: None):
         yield
 
 
 @contextmanager
-def _without_doubt() -> Iterator[None]:
+def _without_uncertain_runs() -> Iterator[None]:
     with mock.patch.object(quota_coordinator, "find_doubts", lambda _jobs, _workers: {}):
         yield
 
 
 MECHANISM_DISABLERS = {
-    "the count of what runs": _without_count,
-    "the count within one pass": _without_count_in_pass,
-    "the doubt": _without_doubt,
+    "counting of runs": _without_counting,
+    "counting within one pass": _without_counting_in_pass,
+    "uncertain runs": _without_uncertain_runs,
 }
 
 
@@ -154,23 +154,23 @@
     cluster.call(holder, spec.job_id, SubmitCall(spec), take)
 
 
-def _hand_in(context: Any, spec: JobSpec) -> None:
+def _submit(context: Any, spec: JobSpec) -> None:
     cluster = context.cluster
     _send(context, spec)
     cluster.run(0.5)
     assert cluster.audit.jobs[spec.job_id].accepted_at is not None
 
 
-def _has_begun(context: Any, number: int) -> bool:
+def _has_started(context: Any, number: int) -> bool:
     return context.cluster.audit.jobs[f"{number:016x}"].has_started
 
 
 @given("two jobs of a tenant with a quota of two workers are at work")
-def _two_at_work(context: Any) -> None:
+def _two_running(context: Any) -> None:
     for number in (1, 2):
-        _hand_in(context, _job(context, number, "small"))
+        _submit(context, _job(context, number, "small"))
     context.cluster.run(1.0)
-    assert _has_begun(context, 1) and _has_begun(context, 2)
+    assert _has_started(context, 1) and _has_started(context, 2)
 
 
 @when("the holder is killed, and its successor cannot reach the workers that run them")
@@ -183,30 +183,30 @@
     cluster.run(2.0)
 
 
-@when("two more jobs of that tenant are handed in, and {seconds:d} seconds pass")
+@when("two more jobs of that tenant are submitted, and {seconds:d} seconds pass")
 def _two_more(context: Any, seconds: int) -> None:
     for number in (3, 4):
-        _hand_in(context, _job(context, number, "small"))
+        _submit(context, _job(context, number, "small"))
     context.cluster.run(seconds)
 
 
 @then("a job of another tenant begins")
-def _another_begins(context: Any) -> None:
-    _hand_in(context, _job(context, 5, "large"))
+def _another_starts(context: Any) -> None:
+    _submit(context, _job(context, 5, "large"))
     context.cluster.run(1.0)
-    assert _has_begun(context, 5)
+    assert _has_started(context, 5)
 
 
 @when(
-    "a job of {tasks:d} tasks, each as large as a worker, is handed in for a tenant"
+    "a job of {tasks:d} tasks, each as large as a worker, is submitted for a tenant"
     " with two workers"
 )
 def _wide_job(context: Any, tasks: int) -> None:
-    _hand_in(context, _job(context, 1, "small", tasks))
+    _submit(context, _job(context, 1, "small", tasks))
 
 
 @then("the job is done in the end, never more than {most:d} tasks at once")
-def _waves(context: Any, most: int) -> None:
+def _done_within_limit(context: Any, most: int) -> None:
     cluster = context.cluster
     for _ in range(400):
         cluster.run(0.1)
@@ -221,7 +221,7 @@
 
 
 @when(
-    "{jobs:d} jobs of {tasks:d} tasks, each as large as a worker, are handed in at once"
+    "{jobs:d} jobs of {tasks:d} tasks, each as large as a worker, are submitted at once"
     " for a tenant with two workers"
 )
 def _at_once(context: Any, jobs: int, tasks: int) -> None:
@@ -230,32 +230,32 @@
     context.cluster.run(2.0)
 
 
-@when("a gang of {tasks:d} such tasks is handed in for that tenant")
+@when("a gang of {tasks:d} such tasks is submitted for that tenant")
 def _gang(context: Any, tasks: int) -> None:
-    _hand_in(context, _job(context, 3, "small", tasks, gang=True))
+    _submit(context, _job(context, 3, "small", tasks, gang=True))
 
 
 @then("the gang begins only after both have ended")
 def _gang_after(context: Any) -> None:
     cluster = context.cluster
     cluster.run(4.0)
-    assert not _has_begun(context, 3)
+    assert not _has_started(context, 3)
     cluster.run(10.0)
-    assert _has_begun(context, 3)
+    assert _has_started(context, 3)
     assert not cluster.audit.findings, cluster.audit.findings
 
 
 @when("a job of {tasks:d} tasks, each as large as a worker, waits for that tenant's quota")
 def _waits_for_quota(context: Any, tasks: int) -> None:
-    _hand_in(context, _job(context, 3, "small", tasks))
+    _submit(context, _job(context, 3, "small", tasks))
     context.cluster.run(0.5)
 
 
 @then(
-    'the holder tells of "{tenant}" {running:d} running and {waiting:d} waiting jobs,'
+    'the holder reports for "{tenant}" {running:d} running and {waiting:d} waiting jobs,'
     " all of its quota used, and {steps:d} step held back"
 )
-def _tells_tenant(context: Any, tenant: str, running: int, waiting: int, steps: int) -> None:
+def _reports_tenant(context: Any, tenant: str, running: int, waiting: int, steps: int) -> None:
     answer = describe_tenants(context.cluster.holder().node)
     context.tenants_answer = answer
     found = next(item for item in answer.tenants if item.tenant == tenant)
@@ -265,7 +265,7 @@
 
 
 class _Client:
-    """Answers the command line as a node would."""
+    """Answers the command line's request in place of a node."""
 
     def __init__(self, answer: Any) -> None:
         self._answer = answer
@@ -275,8 +275,10 @@
         return msgspec.json.decode(msgspec.json.encode(self._answer))
 
 
-@then('the command "tenants" names "{tenant}", its quota as used up, and {owed:d} jobs owed')
-def _command(context: Any, tenant: str, owed: int) -> None:
+@then(
+    'the command "tenants" names "{tenant}", its quota as used up, and {entitled:d} entitled jobs'
+)
+def _command(context: Any, tenant: str, entitled: int) -> None:
     output = io.StringIO()
     arguments = argparse.Namespace(json=False, sort="quota")
     with redirect_stdout(output):
@@ -286,7 +288,7 @@
     row = dict(zip(header, lines[2].split(), strict=False))
     assert row["tenant"] == tenant, lines
     assert float(row["of_quota"]) == 1.0, row
-    assert int(row["owed"]) == owed, row
+    assert int(row["owed"]) == entitled, row
 
 
 @when("the jobs of {count:d} tenants have ended")
@@ -296,8 +298,8 @@
         context.metrics.note_ended(JobEnded("q", f"tenant-{number}", "completed", 1.0))
 
 
-@then("the figures name {count:d} tenants, the rest together")
-def _figures(context: Any, count: int) -> None:
+@then("the metrics name {count:d} tenants, the others as one")
+def _metrics(context: Any, count: int) -> None:
     text = context.metrics.render().decode()
     names = set(re.findall(r'onyxspoke_job_seconds_count\{[^}]*tenant="([^"]*)"', text))
     assert len(names) == count and "(other)" in names, len(names)
@@ -311,16 +313,16 @@
     context.tenant = TenantPolicy(name="one", weight=weight)
 
 
-@when("it hands in {count:d} jobs within {seconds:g} s in a cell of {shards:d} shards")
-def _hands_in_many(context: Any, count: int, seconds: float, shards: int) -> None:
+@when("it submits {count:d} jobs within {seconds:g} s in a cell of {shards:d} shards")
+def _submits_many(context: Any, count: int, seconds: float, shards: int) -> None:
     meter = ShareMeter()
     moments = [seconds * (number + 1) / count for number in range(count)]
-    context.owed = sum(meter.consume(context.tenant, shards, 50.0 + at) for at in moments)
+    context.entitled_count = sum(meter.consume(context.tenant, shards, 50.0 + at) for at in moments)
 
 
-@then("{count:d} of them are owed to it")
-def _owed(context: Any, count: int) -> None:
-    assert abs(context.owed - count) <= 1, context.owed
+@then("{count:d} of them are entitled")
+def _entitled(context: Any, count: int) -> None:
+    assert abs(context.entitled_count - count) <= 1, context.entitled_count
 
 
 @given("waiting steps")
--- a/src/onyxspoke/core/tenants/quota_lender.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -88,16 +88,16 @@
     def reserved_for_older_requests(self, shard: ShardId) -> ResourceVector:
         """Return the resources that shards with older unmet requests still lack."""
         own_request = self.unmet_requests.get(shard)
-        retained = ResourceVector()
+        reserved = ResourceVector()
         for other, unmet in self.unmet_requests.items():
             if other == shard or (own_request is not None and own_request.since <= unmet.since):
                 continue
             loan = self.loans.get(other)
             allocated = loan.amount if loan is not None else unmet.used
-            retained = add_vectors(
-                retained, ResourceVector(*map(_missing, unmet.wanted, allocated))
+            reserved = add_vectors(
+                reserved, ResourceVector(*map(_missing, unmet.wanted, allocated))
             )
-        return retained
+        return reserved
 
     def drop_expired(self, now: float) -> None:
         """Drop unmet requests that were not repeated in time."""
