--- a/src/onyxspoke/core/actions.py
+++ b/src/onyxspoke/core/actions.py
@@ -1,4 +1,4 @@
-"""Instructions that the core gives to the shell."""
+"""Actions that the scheduling core returns and the shell of the entry carries out."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class AttachWorker(msgspec.Struct, frozen=True):
-    """Connect to a worker if needed and fence it with a token."""
+    """Connect to a worker if needed, and send the fencing token of its new owner."""
 
     machine: MachineRecord
     token: FencingToken
 
 
 class DetachWorker(msgspec.Struct, frozen=True):
-    """Nothing is expected from this worker any more; close the connection."""
+    """Close the connection to a worker that owes this entry no more answers."""
 
     worker_id: WorkerId
 
 
 class StartTask(msgspec.Struct, frozen=True):
-    """Send a task to a worker, unless ``not_after`` has passed by then."""
+    """Send a task to a worker, unless the time ``not_after`` has already passed."""
 
     worker_id: WorkerId
     token: FencingToken
@@ -59,14 +59,14 @@
 
 
 class AnswerCaller(msgspec.Struct, frozen=True):
-    """Give a caller its final answer."""
+    """Send a caller its final answer."""
 
     request_id: str
     answer: Answer
 
 
 class AnswerPeer(msgspec.Struct, frozen=True):
-    """Answer a request that a peer forwarded or asked about."""
+    """Answer a peer that forwarded a request or queried an idempotency key."""
 
     peer_id: EntryId
     request_id: str
@@ -74,7 +74,7 @@
 
 
 class ForwardTask(msgspec.Struct, frozen=True):
-    """Hand a task to a peer that advertised free capacity."""
+    """Forward a task to a peer that advertised free capacity."""
 
     peer_id: EntryId
     request_id: str
@@ -83,7 +83,7 @@
 
 
 class QueryKeyHolder(msgspec.Struct, frozen=True):
-    """Ask the entry that holds an idempotency key for the answer."""
+    """Ask the entry that holds an idempotency key for the answer to its request."""
 
     peer_id: EntryId
     request_id: str
@@ -91,7 +91,7 @@
 
 
 class ConnectPeer(msgspec.Struct, frozen=True):
-    """Keep a stream to a peer entry."""
+    """Open a message stream to a peer entry, and reopen the stream if it is lost."""
 
     peer_id: EntryId
     host: str
@@ -99,13 +99,13 @@
 
 
 class DisconnectPeer(msgspec.Struct, frozen=True):
-    """Drop the stream to a peer entry that is gone."""
+    """Close the message stream to a peer entry that has failed or left."""
 
     peer_id: EntryId
 
 
 class AdvertiseCapacity(msgspec.Struct, frozen=True):
-    """Tell the peers what is free here."""
+    """Advertise this entry's free capacity and settings revision to its peers."""
 
     free: Resources
     largest_free: Resources
@@ -113,7 +113,7 @@
 
 
 class ProbeJobs(msgspec.Struct, frozen=True):
-    """Ask a peer which workers it owns and which tasks of jobs run there."""
+    """Ask a peer which workers it owns and which tasks of the given jobs run on them."""
 
     peer_id: EntryId
     probe_id: int
@@ -121,7 +121,7 @@
 
 
 class AnswerProbe(msgspec.Struct, frozen=True):
-    """Answer a peer's probe."""
+    """Answer a peer's probe with the owned workers and the running tasks."""
 
     peer_id: EntryId
     probe_id: int
@@ -130,7 +130,7 @@
 
 
 class PassTaskAnswer(msgspec.Struct, frozen=True):
-    """Pass the answer of a job's task to the entry that runs the job."""
+    """Forward the answer of a job's task to the entry that runs the job."""
 
     peer_id: EntryId
     task_name: TaskName
@@ -138,53 +138,62 @@
 
 
 class RequestHoldover(msgspec.Struct, frozen=True):
-    """Ask a zone peer to promise that it claims nothing of ours for a lease."""
+    """Ask a peer of the zone not to claim this entry's workers and jobs for one lease."""
 
     peer_id: EntryId
     round_number: int
 
 
 class GrantHoldover(msgspec.Struct, frozen=True):
-    """Promise a zone peer to claim nothing of its own for a lease."""
+    """Promise a peer of the zone not to claim its workers and jobs for one lease."""
 
     peer_id: EntryId
     round_number: int
 
 
 class JobFinished(msgspec.Struct, frozen=True):
-    """A durable job has its answer in the log."""
+    """Report that the final answer of a durable job was read from the log."""
 
     job_id: JobId
 
 
 class SettingsDecided(msgspec.Struct, frozen=True):
-    """An own change of settings was folded; the tree holds the verdict."""
+    """Report that a settings change of this entry was decided; the tree holds the verdict."""
 
     change_id: str
 
 
 class SettingsRefused(msgspec.Struct, frozen=True):
-    """An own change of settings is given up; the code tells whether it may still come true."""
+    """Report that this entry stopped waiting for the verdict on its settings change.
+
+    The code tells whether the log may still accept the change.
+    """
 
     change_id: str
     code: ResultCode
 
 
 class SettingsInForce(msgspec.Struct, frozen=True):
-    """Every live entry has folded a revision, so many seconds after it was accepted."""
+    """Report that every live entry has applied a settings revision.
+
+    ``seconds`` is the time since the change was accepted.
+    """
 
     revision: Offset
     seconds: float
 
 
 class StateLost(msgspec.Struct, frozen=True):
-    """The log dropped records before they were read; only a fresh start can catch up."""
+    """Report that the log dropped records that this entry had not read.
+
+    Only a restart of the process can recover the state.
+    """
 
     stream: LogStream
 
 
 class StopCompleted(msgspec.Struct, frozen=True):
-    """A planned stop is complete; the process may exit."""
+    """Report that a planned stop is complete and the process may exit."""
 
 
 Action = (
--- a/src/onyxspoke/core/append_queue.py
+++ b/src/onyxspoke/core/append_queue.py
@@ -1,7 +1,7 @@
 """Group commit to one stream of the log, one batch in flight at a time.
 
-A batch whose answer was lost is sent again with the same sequence until it is
-read back; readers fold a sequence once, so the repeat is harmless.
+A batch is sent again with the same sequence number until this entry reads the batch
+back from the log.  Readers apply each sequence number once, so a repeat has no effect.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 
 class AppendOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Pace of appends: the budget that keeps the log within its rate."""
+    """Intervals and batch size that keep appends within the rate that the log allows."""
 
     minimum_interval_seconds: float = 0.05
     renewal_interval_seconds: float = 1.0
     retry_interval_seconds: float = 0.5
-    maximum_records: int = 256
+    maximum_records_per_batch: int = 256
 
 
 @dataclass(slots=True)
 class InFlightBatch:
-    """The batch that has been sent and not yet read back."""
+    """A batch that was sent and has not yet been read back from the log."""
 
     batch: LogBatch
     created_at: float
@@ -33,58 +33,60 @@
 
 
 class AppendQueue:
-    """Collects records and says when the next batch is to be sent."""
+    """Collects records and decides when the next batch is sent."""
 
-    def __init__(self, identity: EntryIdentity, options: AppendOptions, *, renews: bool) -> None:
+    def __init__(
+        self, identity: EntryIdentity, options: AppendOptions, *, renews_lease: bool
+    ) -> None:
         self._identity = identity
         self._options = options
-        self._renews = renews
-        self._pending: list[LogRecord] = []
+        self._renews_lease = renews_lease
+        self._pending_records: list[LogRecord] = []
         self._in_flight: InFlightBatch | None = None
         self._next_sequence = 1
         self._last_created_at = float("-inf")
-        self._failing_since: float | None = None
+        self._appends_failing_since: float | None = None
         self.stopping = False
-        #: Nothing is sent before the reader has made sense of the log.
+        #: No batch is sent before the reader has restored the state of the stream.
         self.enabled = False
 
     def add(self, record: LogRecord) -> None:
         """Queue a record for the next batch."""
-        self._pending.append(record)
+        self._pending_records.append(record)
 
     def withdraw(self, record: LogRecord) -> bool:
         """Remove a record that has not been sent yet; return whether it was there."""
-        if record not in self._pending:
+        if record not in self._pending_records:
             return False
-        self._pending.remove(record)
+        self._pending_records.remove(record)
         return True
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing waits and nothing is in flight."""
-        return not self._pending and self._in_flight is None
+        """Whether no record is pending and no batch is in flight."""
+        return not self._pending_records and self._in_flight is None
 
     @property
     def pending_count(self) -> int:
-        """Number of records that wait for a batch."""
-        return len(self._pending)
+        """Number of records that no batch contains yet."""
+        return len(self._pending_records)
 
-    def failing_for(self, now: float) -> float:
-        """Return for how many seconds appends have been failing; 0 when they work."""
-        if self._failing_since is None:
+    def failing_seconds(self, now: float) -> float:
+        """Return for how many seconds appends have been failing; 0 if the last one succeeded."""
+        if self._appends_failing_since is None:
             return 0.0
-        return now - self._failing_since
+        return now - self._appends_failing_since
 
     def next_batch(self, now: float) -> LogBatch | None:
-        """Return a batch to send now, or ``None``."""
+        """Return the batch to send now, or ``None`` if no batch is due."""
         if not self.enabled:
             return None
         if self._in_flight is not None:
-            return self._retry(self._in_flight, now)
-        if not self._is_due(now):
+            return self._batch_to_resend(self._in_flight, now)
+        if not self._is_batch_due(now):
             return None
-        records = self._pending[: self._options.maximum_records]
-        del self._pending[: len(records)]
+        records = self._pending_records[: self._options.maximum_records_per_batch]
+        del self._pending_records[: len(records)]
         batch = LogBatch(
             writer=self._identity.entry_id,
             zone=self._identity.zone,
@@ -99,40 +101,45 @@
         self._in_flight = InFlightBatch(batch, created_at=now, sent_at=now)
         return batch
 
-    def due_at(self) -> float | None:
-        """Return when waiting records may be sent; ``None`` if none wait for that alone."""
-        if not self.enabled or not self._pending or self._in_flight is not None:
+    def next_send_at(self) -> float | None:
+        """Return when the pending records may be sent.
+
+        Returns ``None`` if no record is pending or if something other than the minimum
+        interval keeps the records back.
+        """
+        if not self.enabled or not self._pending_records or self._in_flight is not None:
             return None
         return self._last_created_at + self._options.minimum_interval_seconds
 
     def handle_read(self, sequence: int) -> float | None:
-        """Note that an own batch was read back.
+        """Handle a batch of this entry that was read back from the log.
 
         Returns
         -------
         float or None
-            When the batch was created, if it was the one in flight.
+            Time at which the batch was created; ``None`` if the batch was not in flight.
         """
         in_flight = self._in_flight
         if in_flight is None or in_flight.batch.sequence != sequence:
             return None
         self._in_flight = None
-        self._failing_since = None
+        self._appends_failing_since = None
         return in_flight.created_at
 
     def handle_failure(self, now: float) -> None:
-        """Note that the last send failed or its answer was lost; it is sent again later."""
-        if self._failing_since is None:
-            self._failing_since = now
-
-    def _is_due(self, now: float) -> bool:
-        # In the same form as due_at(), or rounding would make a timer fire in vain.
-        if self._pending:
+        """Handle a failed append or a lost answer; the batch is sent again later."""
+        if self._appends_failing_since is None:
+            self._appends_failing_since = now
+
+    def _is_batch_due(self, now: float) -> bool:
+        # The same expression as in next_send_at(): with another rounding, the timer that is set
+        # from next_send_at() could fire before the batch is due.
+        if self._pending_records:
             return now >= self._last_created_at + self._options.minimum_interval_seconds
         renewal_at = self._last_created_at + self._options.renewal_interval_seconds
-        return self._renews and now >= renewal_at
+        return self._renews_lease and now >= renewal_at
 
-    def _retry(self, in_flight: InFlightBatch, now: float) -> LogBatch | None:
+    def _batch_to_resend(self, in_flight: InFlightBatch, now: float) -> LogBatch | None:
         if now - in_flight.sent_at < self._options.retry_interval_seconds:
             return None
         self.handle_failure(in_flight.sent_at)
--- a/src/onyxspoke/core/capacity_index.py
+++ b/src/onyxspoke/core/capacity_index.py
@@ -1,9 +1,9 @@
-"""Free capacity indexed by class, so that a placement does not grow with the workers.
+"""Index of free capacity, so that the cost of a placement does not grow with the workers.
 
-Workers that are alike (generation and capacity) form a group.  Within a group, workers with
-the same free amounts share a bucket, and buckets are sorted by how occupied their workers
-are.  A placement looks at the groups and, in each, at buckets from the best one on until one
-fits; the number of workers does not enter.
+Workers of the same generation and capacity form a group.  Within a group, workers with the
+same free amounts share a bucket, and the buckets are sorted by the occupied share of their
+workers.  A placement searches the buckets of each group, best bucket first, until the task
+fits; the cost depends on the number of groups and buckets, not on the number of workers.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from onyxspoke.core.owned_worker import OwnedWorker
 from onyxspoke.core.schema import PlacementPolicy, Resources, TaskClass, WorkerId
 
-#: Occupied share, then free processors, memory, accelerators and slots.
+#: Occupied share, then free processors, memory in MiB, accelerators and slots.
 BucketKey = tuple[float, int, int, int, int]
 
 
 class GroupKey(msgspec.Struct, frozen=True):
-    """What the workers of one group have in common."""
+    """Generation and capacity that the workers of one group have in common."""
 
     generation: str
     capacity: Resources
 
 
 class CapacityGroup:
-    """The buckets of like workers, sorted by occupied share."""
+    """Workers of the same generation and capacity, in buckets sorted by occupied share."""
 
     def __init__(self, key: GroupKey) -> None:
         self.key = key
-        self._order: SortedList[BucketKey] = SortedList()
+        self._sorted_keys: SortedList[BucketKey] = SortedList()
         self._buckets: dict[BucketKey, dict[WorkerId, OwnedWorker]] = {}
 
     def add(self, key: BucketKey, worker: OwnedWorker) -> None:
@@ -40,45 +40,45 @@
         bucket = self._buckets.get(key)
         if bucket is None:
             bucket = self._buckets[key] = {}
-            self._order.add(key)
+            self._sorted_keys.add(key)
         bucket[worker.worker_id] = worker
 
     def remove(self, key: BucketKey, worker_id: WorkerId) -> None:
-        """Take a worker out of its bucket."""
+        """Remove a worker from its bucket."""
         bucket = self._buckets[key]
         del bucket[worker_id]
         if not bucket:
             del self._buckets[key]
-            self._order.remove(key)
+            self._sorted_keys.remove(key)
 
     def best_key(self, needed: Resources, policy: PlacementPolicy) -> BucketKey | None:
-        """Return the best bucket that has room, by the policy."""
+        """Return the key of the policy's best bucket that fits, or ``None`` if no bucket fits."""
         for key in self._candidates(needed, policy):
             if _fits(needed, key):
                 return key
         return None
 
     def any_worker(self, key: BucketKey) -> OwnedWorker:
-        """Return a worker of a bucket; all of them are alike."""
+        """Return any worker of a bucket; all have the same free capacity."""
         return next(iter(self._buckets[key].values()))
 
     def _candidates(self, needed: Resources, policy: PlacementPolicy) -> Iterator[BucketKey]:
         if policy is PlacementPolicy.SPREAD:
-            return iter(self._order)
-        highest = (_highest_share_with_room(needed, self.key.capacity), *_UNBOUNDED)
-        candidates: Iterator[BucketKey] = self._order.irange(maximum=highest, reverse=True)
+            return iter(self._sorted_keys)
+        highest = (_highest_fitting_share(needed, self.key.capacity), *_UNBOUNDED_AMOUNTS)
+        candidates: Iterator[BucketKey] = self._sorted_keys.irange(maximum=highest, reverse=True)
         return candidates
 
 
 class CapacityIndex:
-    """All workers that accept work, by group and free amount."""
+    """The workers that accept work, indexed by group and free capacity."""
 
     def __init__(self) -> None:
         self._groups: dict[GroupKey, CapacityGroup] = {}
-        self._places: dict[WorkerId, tuple[CapacityGroup, BucketKey]] = {}
+        self._positions: dict[WorkerId, tuple[CapacityGroup, BucketKey]] = {}
 
     def update(self, worker: OwnedWorker) -> None:
-        """Put a worker where its present state belongs, or nowhere if it takes no work."""
+        """Index a worker by its current state, or remove the worker if it accepts no work."""
         self.remove(worker.worker_id)
         if not worker.accepts_work:
             return
@@ -92,32 +92,37 @@
             free.slots,
         )
         group.add(key, worker)
-        self._places[worker.worker_id] = (group, key)
+        self._positions[worker.worker_id] = (group, key)
 
     def remove(self, worker_id: WorkerId) -> None:
-        """Forget a worker."""
-        place = self._places.pop(worker_id, None)
-        if place is not None:
-            group, key = place
+        """Remove a worker from the index."""
+        position = self._positions.pop(worker_id, None)
+        if position is not None:
+            group, key = position
             group.remove(key, worker_id)
 
     def choose(self, task_class: TaskClass) -> OwnedWorker | None:
-        """Return the worker that suits a task best, or ``None`` if none has room.
+        """Return the best worker for a task, or ``None`` if no worker has enough free capacity.
 
-        ``SPREAD`` takes the least occupied worker, ``PACK`` the most occupied one that
-        still fits.  Either keeps machines with accelerators for work that needs them.
+        ``SPREAD`` chooses the least occupied worker and ``PACK`` the most occupied worker
+        on which the task fits.  Under both policies, a task that needs no accelerator goes
+        to a worker with accelerators only if no other worker has enough free capacity.
         """
         needed = task_class.resources
-        spared: list[CapacityGroup] = []
-        preferred: list[CapacityGroup] = []
+        last_resort_groups: list[CapacityGroup] = []
+        preferred_groups: list[CapacityGroup] = []
         for group in self._groups.values():
-            if not _may_run(task_class, group.key):
+            if not _is_eligible(task_class, group.key):
                 continue
-            wastes = group.key.capacity.accelerators and not needed.accelerators
-            (spared if wastes else preferred).append(group)
-        return self._best_of(preferred, task_class) or self._best_of(spared, task_class)
+            wastes_accelerators = group.key.capacity.accelerators and not needed.accelerators
+            (last_resort_groups if wastes_accelerators else preferred_groups).append(group)
+        return self._choose_from(preferred_groups, task_class) or self._choose_from(
+            last_resort_groups, task_class
+        )
 
-    def _best_of(self, groups: list[CapacityGroup], task_class: TaskClass) -> OwnedWorker | None:
+    def _choose_from(
+        self, groups: list[CapacityGroup], task_class: TaskClass
+    ) -> OwnedWorker | None:
         policy = task_class.policy
         best_group: CapacityGroup | None = None
         best_key: BucketKey | None = None
@@ -137,8 +142,8 @@
         return group
 
 
-_UNBOUNDED = (1 << 62,) * 4
-_ROUNDING = 1e-9
+_UNBOUNDED_AMOUNTS = (1 << 62,) * 4
+_ROUNDING_TOLERANCE = 1e-9
 
 
 def _fits(needed: Resources, key: BucketKey) -> bool:
@@ -151,7 +156,7 @@
     )
 
 
-def _may_run(task_class: TaskClass, group: GroupKey) -> bool:
+def _is_eligible(task_class: TaskClass, group: GroupKey) -> bool:
     generations = task_class.generations
     if generations and group.generation not in generations:
         return False
@@ -162,11 +167,11 @@
     return key[0] > best[0] if policy is PlacementPolicy.PACK else key[0] < best[0]
 
 
-def _highest_share_with_room(needed: Resources, capacity: Resources) -> float:
-    """Return the occupied share above which no worker of that capacity has room.
+def _highest_fitting_share(needed: Resources, capacity: Resources) -> float:
+    """Return the highest occupied share at which a worker can still have room for a task.
 
-    The most occupied resource of a worker needs room for at least the smallest share
-    that the task takes of any resource.
+    The task takes at least its smallest share of every resource, so the worker's most
+    occupied resource must have at least that share free.
     """
     shares = [
         amount / total
@@ -177,4 +182,4 @@
         )
         if total
     ]
-    return 1.0 - min(shares, default=0.0) + _ROUNDING
+    return 1.0 - min(shares, default=0.0) + _ROUNDING_TOLERANCE
--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -1,8 +1,8 @@
-"""The state of the cell that every entry folds identically from the log.
+"""State of the cell, which every entry rebuilds by replaying the cell stream of the log.
 
-The fold depends on nothing but the records and their order, so two readers of the
-same prefix agree.  ``seen_at`` is the one local fact: when this reader read a
-member's last batch, on its own monotonic clock.
+The state depends only on the records and their order, so two readers of the same prefix
+of the log have the same state.  The only local value is ``seen_at``: the time, on the
+reader's own monotonic clock, at which this reader read a member's last batch.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """An entry, as its batches in the log show it."""
+    """An entry that has appended to the log, with the data of its last batch."""
 
     entry_id: EntryId
     zone: str
@@ -54,14 +54,14 @@
 
 
 class Holding(msgspec.Struct, frozen=True):
-    """Who owns a worker; ``holder`` is empty once it was released."""
+    """The owner of a worker; ``holder`` is empty if the worker was never claimed or is released."""
 
     holder: EntryId
     epoch: Epoch
 
 
-class KeyEntry(msgspec.Struct, frozen=True):
-    """Which entry holds an idempotency key, and for which request."""
+class KeyOwnership(msgspec.Struct, frozen=True):
+    """The entry that holds an idempotency key, and the fingerprint of the key's request."""
 
     holder: EntryId
     fingerprint: int
@@ -69,9 +69,11 @@
 
 @dataclass(slots=True)
 class JobEntry:
-    """A durable job; ``answer`` is ``None`` until it ended, ``runner`` empty once released.
+    """A durable job.
 
-    ``started`` names the tasks of an unrepeatable job that may have been started.
+    ``answer`` is ``None`` until the job has ended.  ``runner`` is empty while the job is
+    released.  ``started`` has the indexes of the tasks of an unrepeatable job that may have
+    been started.
     """
 
     job: JobSubmission
@@ -82,9 +84,9 @@
 
 
 class CellLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of what a reader remembers.
+    """Largest numbers of keys and ended jobs that a reader keeps.
 
-    They are counts, not times, so that every reader forgets the same records.
+    The limits are counts instead of times, so that every reader drops the same records.
     """
 
     maximum_keys: int = 20_000
@@ -95,17 +97,17 @@
 
 
 class CellState:
-    """Fold of the cell stream."""
+    """State that results from applying the batches of the cell stream in order."""
 
     def __init__(self, limits: CellLimits) -> None:
         self._limits = limits
         self.members: dict[EntryId, Member] = {}
         self.holdings: dict[WorkerId, Holding] = {}
         self.draining: set[WorkerId] = set()
-        self.keys: OrderedDict[str, KeyEntry] = OrderedDict()
+        self.keys: OrderedDict[str, KeyOwnership] = OrderedDict()
         self.jobs: dict[JobId, JobEntry] = {}
         self.open_jobs: dict[EntryId, dict[JobId, JobEntry]] = {}
-        self._ended_jobs: OrderedDict[JobId, None] = OrderedDict()
+        self._ended_job_ids: OrderedDict[JobId, None] = OrderedDict()
         self.applied_offset: Offset = 0
         self._handlers: dict[type, Callable[[Offset, EntryId, Any], None]] = {
             WorkerClaim: self._apply_claims,
@@ -121,7 +123,7 @@
         }
 
     def apply(self, offset: Offset, batch: LogBatch, now: float) -> bool:
-        """Fold one batch; return ``False`` if it is a repeat and changed nothing."""
+        """Apply one batch; return ``False`` if the batch is a repeat and was ignored."""
         self.applied_offset = offset
         if not self._apply_member(offset, batch, now):
             return False
@@ -130,11 +132,11 @@
         return True
 
     def holding_of(self, worker_id: WorkerId) -> Holding:
-        """Return who owns a worker."""
+        """Return the current ownership of a worker."""
         return self.holdings.get(worker_id, UNOWNED)
 
     def live_members(self, zone: str, now: float, lapse_seconds: float) -> list[EntryId]:
-        """Return the members of a zone that were heard of lately and are not stopping."""
+        """Return the members of a zone that appended recently and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
@@ -142,7 +144,7 @@
         ]
 
     def all_live_members(self, now: float, lapse_seconds: float) -> list[EntryId]:
-        """Return the members of all zones that were heard of lately and are not stopping."""
+        """Return the members of all zones that appended recently and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
@@ -150,7 +152,7 @@
         ]
 
     def to_snapshot(self) -> CellSnapshot:
-        """Return the fold as records; local facts are left out."""
+        """Return the state as a snapshot, without the local values."""
         members = [
             MemberState(
                 member.entry_id,
@@ -168,7 +170,7 @@
             for worker_id, holding in self.holdings.items()
         ]
         keys = [KeyState(key, entry.holder, entry.fingerprint) for key, entry in self.keys.items()]
-        ended = [self.jobs[job_id] for job_id in self._ended_jobs]
+        ended = [self.jobs[job_id] for job_id in self._ended_job_ids]
         running = [entry for jobs in self.open_jobs.values() for entry in jobs.values()]
         jobs = [
             JobState(entry.job, entry.zone, entry.runner, entry.answer, sorted(entry.started))
@@ -177,7 +179,10 @@
         return CellSnapshot(members, holdings, sorted(self.draining), keys, jobs)
 
     def load_snapshot(self, snapshot: CellSnapshot, covers: Offset, now: float) -> None:
-        """Replace the fold; every member counts as heard of now, so none is taken over early."""
+        """Replace the state by a snapshot.
+
+        Every member counts as seen now, so that no member's workers are claimed too early.
+        """
         self.applied_offset = covers
         self.members = {
             state.entry_id: Member(
@@ -197,7 +202,7 @@
         }
         self.draining = set(snapshot.draining)
         self.keys = OrderedDict(
-            (state.key, KeyEntry(state.holder, state.fingerprint)) for state in snapshot.keys
+            (state.key, KeyOwnership(state.holder, state.fingerprint)) for state in snapshot.keys
         )
         for state in snapshot.jobs:
             self._load_job(state)
@@ -207,19 +212,19 @@
         entry = JobEntry(state.job, state.zone, state.runner, state.answer, set(state.started))
         self.jobs[job_id] = entry
         if state.answer is not None:
-            self._ended_jobs[job_id] = None
+            self._ended_job_ids[job_id] = None
         else:
             self.open_jobs.setdefault(state.runner, {})[job_id] = entry
 
-    def forget_members(self, now: float, forget_seconds: float) -> None:
-        """Drop members that hold nothing and have been silent for long."""
+    def remove_expired_members(self, now: float, forget_seconds: float) -> None:
+        """Remove members that own nothing and have not appended for ``forget_seconds``."""
         holders = {holding.holder for holding in self.holdings.values()} | self.open_jobs.keys()
-        silent = [
+        expired_ids = [
             member.entry_id
             for member in self.members.values()
             if now - member.seen_at > forget_seconds and member.entry_id not in holders
         ]
-        for entry_id in silent:
+        for entry_id in expired_ids:
             del self.members[entry_id]
 
     def _apply_member(self, offset: Offset, batch: LogBatch, now: float) -> bool:
@@ -251,8 +256,10 @@
         current = self.holding_of(item.worker_id)
         if current.epoch != item.expected_epoch:
             return
-        is_foreign = current.holder not in ("", writer)
-        if is_foreign and self.has_appended_since(current.holder, item.holder_renewal_offset):
+        is_owned_by_other = current.holder not in ("", writer)
+        if is_owned_by_other and self.has_appended_since(
+            current.holder, item.holder_renewal_offset
+        ):
             return
         self.holdings[item.worker_id] = Holding(holder=writer, epoch=offset)
 
@@ -270,7 +277,7 @@
     def _apply_key_intent(self, _offset: Offset, writer: EntryId, record: KeyIntent) -> None:
         if record.key in self.keys:
             return
-        self.keys[record.key] = KeyEntry(holder=writer, fingerprint=record.fingerprint)
+        self.keys[record.key] = KeyOwnership(holder=writer, fingerprint=record.fingerprint)
         if len(self.keys) > self._limits.maximum_keys:
             self.keys.popitem(last=False)
 
@@ -280,7 +287,7 @@
             del self.keys[record.key]
 
     def has_appended_since(self, entry_id: EntryId, offset: Offset) -> bool:
-        """Return whether an entry is known and has appended anything after an offset."""
+        """Return whether a known entry's last batch is at another offset than the given one."""
         member = self.members.get(entry_id)
         return member is not None and member.last_offset != offset
 
@@ -302,20 +309,20 @@
             return
         if self.has_appended_since(record.previous_runner, record.runner_renewal_offset):
             return
-        self._move_job(record.job_id, entry, writer)
+        self._set_job_runner(record.job_id, entry, writer)
 
     def _apply_job_released(self, _offset: Offset, writer: EntryId, record: JobReleased) -> None:
         entry = self.jobs.get(record.job_id)
         if entry is not None and entry.answer is None and entry.runner == writer:
             entry.started.clear()
-            self._move_job(record.job_id, entry, "")
+            self._set_job_runner(record.job_id, entry, "")
 
-    def _move_job(self, job_id: JobId, entry: JobEntry, runner: EntryId) -> None:
-        self._close_job(job_id, entry)
+    def _set_job_runner(self, job_id: JobId, entry: JobEntry, runner: EntryId) -> None:
+        self._remove_open_job(job_id, entry)
         entry.runner = runner
         self.open_jobs.setdefault(runner, {})[job_id] = entry
 
-    def _close_job(self, job_id: JobId, entry: JobEntry) -> None:
+    def _remove_open_job(self, job_id: JobId, entry: JobEntry) -> None:
         jobs = self.open_jobs[entry.runner]
         del jobs[job_id]
         if not jobs:
@@ -326,8 +333,8 @@
         if entry is None or entry.answer is not None or entry.runner != writer:
             return
         entry.answer = record.answer
-        self._close_job(record.job_id, entry)
-        self._ended_jobs[record.job_id] = None
-        if len(self._ended_jobs) > self._limits.maximum_ended_jobs:
-            oldest, _ = self._ended_jobs.popitem(last=False)
-            del self.jobs[oldest]
+        self._remove_open_job(record.job_id, entry)
+        self._ended_job_ids[record.job_id] = None
+        if len(self._ended_job_ids) > self._limits.maximum_ended_jobs:
+            oldest_job_id, _ = self._ended_job_ids.popitem(last=False)
+            del self.jobs[oldest_job_id]
--- a/src/onyxspoke/core/codes.py
+++ b/src/onyxspoke/core/codes.py
@@ -9,7 +9,7 @@
 
 
 class OutcomeKind(Enum):
-    """What a caller is told about a request; there is no fourth outcome."""
+    """Outcome of a request, as reported to its caller."""
 
     COMPLETED = "completed"
     NOT_RUN = "not_run"
@@ -19,7 +19,7 @@
 class ResultCode(IntEnum):
     """Numbered result codes, grouped by hundreds.
 
-    1xx: success. 2xx: refused input, not run. 3xx: not run, retry later.
+    1xx: success. 2xx: the input was refused and not run. 3xx: not run; retry later.
     4xx: the outcome is unknown. 5xx: settings. 6xx: infrastructure.
     """
 
@@ -169,7 +169,7 @@
 
 
 def http_status(code: ResultCode) -> int:
-    """Return the HTTP status that goes with a result code."""
+    """Return the HTTP status for a result code."""
     status = _HTTP_STATUS_BY_CODE.get(code)
     if status is not None:
         return status
@@ -182,9 +182,10 @@
 
 
 def outcome_of(code: ResultCode) -> OutcomeKind:
-    """Return the outcome that a code stands for.
+    """Return the outcome that a result code belongs to.
 
-    Anything that is neither a success nor known not to have run is unknown.
+    A code that neither means success nor guarantees that the request did not run has the
+    outcome ``UNKNOWN``.
     """
     if code in (ResultCode.OK, ResultCode.ACCEPTED):
         return OutcomeKind.COMPLETED
@@ -194,7 +195,7 @@
 
 
 class ExitCode(IntEnum):
-    """Process exit codes of the binaries, by kind of fault."""
+    """Exit codes of the programs, by kind of failure."""
 
     OK = 0
     FAILED = 1
@@ -207,14 +208,14 @@
 
 
 class OnyxspokeError(Exception):
-    """Base of all errors raised by onyxspoke.
+    """Base class of all errors that onyxspoke raises.
 
     Parameters
     ----------
     code : ResultCode
         The numbered result code.
     message : str
-        Detail for people; the code alone is for programs.
+        Details for a human reader; programs should use only the code.
     """
 
     def __init__(self, code: ResultCode, message: str = "") -> None:
@@ -224,12 +225,12 @@
 
 
 class RequestRefusedError(OnyxspokeError):
-    """A request that cannot be taken as it is; it did not run."""
+    """A request that was refused and did not run."""
 
 
 class SettingRefusedError(OnyxspokeError):
-    """A settings change that the schema or a concurrent change forbids."""
+    """A settings change that violates the schema or conflicts with another change."""
 
 
 class StreamError(OnyxspokeError):
-    """A message stream that broke its protocol."""
+    """A message stream that violates its protocol."""
--- a/src/onyxspoke/core/context.py
+++ b/src/onyxspoke/core/context.py
@@ -1,4 +1,4 @@
-"""State of one entry that its decision modules share."""
+"""State of one entry, shared by the modules of the scheduling core."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CoreOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Tunable behaviour of the core."""
+    """Options of the scheduling core."""
 
     lease: LeaseOptions = LeaseOptions()
     append: AppendOptions = AppendOptions()
@@ -33,9 +33,9 @@
     advertisement_lifetime_seconds: float = 3.0
     plan_interval_seconds: float = 0.25
     reattach_interval_seconds: float = 0.5
-    log_patience_seconds: float = 1.0
+    log_timeout_seconds: float = 1.0
     retry_after_seconds: float = 1.0
-    settings_patience_seconds: float = 5.0
+    settings_change_timeout_seconds: float = 5.0
     snapshot_interval_seconds: float = 600.0
     stop_linger_seconds: float = 2.0
     maximum_ended_keys: int = 20_000
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class EntryContext:
-    """Everything that one entry knows, and the actions that it has decided on."""
+    """State of one entry, and the actions that the shell has not yet taken over."""
 
     identity: EntryIdentity
     options: CoreOptions
@@ -66,19 +66,19 @@
 
     @property
     def cell_appends(self) -> AppendQueue:
-        """The appender of the cell stream."""
+        """The append queue of the cell stream."""
         return self.appends[LogStream.CELL]
 
     def emit(self, action: Action) -> None:
-        """Decide on an action."""
+        """Add an action for the shell to carry out."""
         self.actions.append(action)
 
     def log_is_down(self, now: float) -> bool:
-        """Return whether the log has not taken our batches for longer than our patience."""
-        return self.cell_appends.failing_for(now) >= self.options.log_patience_seconds
+        """Return whether appends to the cell stream have failed for the log timeout or longer."""
+        return self.cell_appends.failing_seconds(now) >= self.options.log_timeout_seconds
 
     def refusal(self, code: ResultCode) -> Answer:
-        """Return an answer that gives a request up and says when to come back."""
+        """Return an answer that refuses a request and tells the caller when to retry."""
         return Answer(code=code, retry_after_seconds=self.options.retry_after_seconds)
 
     def holds_lease(self, now: float) -> bool:
@@ -87,15 +87,15 @@
 
 
 def make_context(identity: EntryIdentity, options: CoreOptions) -> EntryContext:
-    """Return the state of an entry that has just started."""
+    """Return the initial state of an entry."""
     return EntryContext(
         identity=identity,
         options=options,
         cell=CellState(options.cell),
         settings=SettingsTree(),
         appends={
-            LogStream.CELL: AppendQueue(identity, options.append, renews=True),
-            LogStream.SETTINGS: AppendQueue(identity, options.append, renews=False),
+            LogStream.CELL: AppendQueue(identity, options.append, renews_lease=True),
+            LogStream.SETTINGS: AppendQueue(identity, options.append, renews_lease=False),
         },
         workers=WorkerTable(),
         peers=PeerTable(),
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -1,4 +1,4 @@
-"""Follows the log: folds what is read, and acts on what this entry itself had written."""
+"""Applies the batches that are read from the log, and reacts to this entry's own records."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class LogFollower:
-    """Keeps the folds of both streams in step with the log."""
+    """Keeps the states of the cell and settings streams up to date with the log."""
 
     def __init__(
         self,
@@ -65,103 +65,117 @@
         self._keys = keys
         self._acceptance = acceptance
         self._jobs = jobs
-        self._bootstraps = {stream: StreamBootstrap() for stream in LogStream}
-        self._settings_offset: Offset = 0
-        self._writers = {
-            LogStream.CELL: SnapshotWriter(context, LogStream.CELL, self._take_cell),
-            LogStream.SETTINGS: SnapshotWriter(context, LogStream.SETTINGS, self._take_settings),
+        self._stream_bootstraps = {stream: StreamBootstrap() for stream in LogStream}
+        self._applied_settings_offset: Offset = 0
+        self._snapshot_writers = {
+            LogStream.CELL: SnapshotWriter(context, LogStream.CELL, self._capture_cell),
+            LogStream.SETTINGS: SnapshotWriter(context, LogStream.SETTINGS, self._capture_settings),
         }
 
-    def handle_start(self, stream: LogStream, first_kept: Offset, next_offset: Offset) -> None:
-        """Learn from which offset on a stream is kept; ``next_offset`` is the one wanted."""
-        bootstrap = self._bootstraps[stream]
-        bootstrap.begin(first_kept)
-        if next_offset > 1 and first_kept > next_offset:
+    def handle_stream_start(
+        self, stream: LogStream, first_retained_offset: Offset, next_offset: Offset
+    ) -> None:
+        """Handle the offset from which on the log retains a stream.
+
+        ``next_offset`` is the first offset that this entry has not read.
+        """
+        bootstrap = self._stream_bootstraps[stream]
+        bootstrap.handle_stream_start(first_retained_offset)
+        if next_offset > 1 and first_retained_offset > next_offset:
             self._context.emit(StateLost(stream))
         self._context.appends[stream].enabled = bootstrap.is_complete
 
-    def read_cell(self, offset: Offset, batch: LogBatch, now: float) -> None:
-        """Take one batch of the cell stream."""
-        self._read(LogStream.CELL, self._load_cell, self._fold_cell, offset, batch, now)
-
-    def read_settings(self, offset: Offset, batch: LogBatch, now: float) -> None:
-        """Take one batch of the settings stream."""
-        self._read(LogStream.SETTINGS, self._load_settings, self._fold_settings, offset, batch, now)
-
-    def _read(
+    def handle_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
+        """Apply one batch of the cell stream, or buffer the batch until a snapshot is loaded."""
+        self._handle_batch(
+            LogStream.CELL, self._load_cell_snapshot, self._apply_cell_batch, offset, batch, now
+        )
+
+    def handle_settings_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
+        """Apply one batch of the settings stream, or buffer it until a snapshot is loaded."""
+        self._handle_batch(
+            LogStream.SETTINGS,
+            self._load_settings_snapshot,
+            self._apply_settings_batch,
+            offset,
+            batch,
+            now,
+        )
+
+    def _handle_batch(
         self,
         stream: LogStream,
-        load: Callable[[LoadedSnapshot, float], None],
-        fold: Callable[[Offset, LogBatch, float], None],
+        load_snapshot_data: Callable[[LoadedSnapshot, float], None],
+        apply_batch: Callable[[Offset, LogBatch, float], None],
         offset: Offset,
         batch: LogBatch,
         now: float,
     ) -> None:
-        """Fold a batch, or keep it until a snapshot makes sense of the stream."""
-        bootstrap = self._bootstraps[stream]
+        """Apply a batch, or buffer the batch until a snapshot of the stream is loaded."""
+        bootstrap = self._stream_bootstraps[stream]
         if bootstrap.is_complete:
-            fold(offset, batch, now)
+            apply_batch(offset, batch, now)
             return
         loaded = bootstrap.read(offset, batch)
         if loaded is None:
             return
-        load(loaded, now)
-        for kept_offset, kept in bootstrap.take_kept(loaded.covers):
-            fold(kept_offset, kept, now)
+        load_snapshot_data(loaded, now)
+        for buffered_offset, buffered_batch in bootstrap.take_buffered(loaded.covers):
+            apply_batch(buffered_offset, buffered_batch, now)
         self._context.appends[stream].enabled = True
 
-    def _load_cell(self, loaded: LoadedSnapshot, now: float) -> None:
+    def _load_cell_snapshot(self, loaded: LoadedSnapshot, now: float) -> None:
         snapshot = msgspec.msgpack.decode(loaded.data, type=CellSnapshot)
         self._context.cell.load_snapshot(snapshot, loaded.covers, now)
         for member in snapshot.members:
-            self._know_peer(member.entry_id, member.zone, member.peer_host, member.peer_port)
+            self._add_peer(member.entry_id, member.zone, member.peer_host, member.peer_port)
 
-    def _load_settings(self, loaded: LoadedSnapshot, _now: float) -> None:
+    def _load_settings_snapshot(self, loaded: LoadedSnapshot, _now: float) -> None:
         snapshot = msgspec.msgpack.decode(loaded.data, type=SettingsSnapshot)
         self._context.settings.load_snapshot(snapshot)
-        self._settings_offset = loaded.covers
+        self._applied_settings_offset = loaded.covers
 
-    def keep_snapshots(self, now: float) -> None:
-        """Write snapshots when the last ones have grown old."""
-        for stream, writer in self._writers.items():
+    def write_due_snapshots(self, now: float) -> None:
+        """Write a snapshot of each stream whose last snapshot is too old."""
+        for stream, writer in self._snapshot_writers.items():
             if self._context.appends[stream].enabled and not self._context.stopping:
-                writer.keep(now)
+                writer.tick(now)
 
-    def _fold_cell(self, offset: Offset, batch: LogBatch, now: float) -> None:
+    def _apply_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
         context = self._context
-        own = batch.writer == context.identity.entry_id
-        created_at = context.cell_appends.handle_read(batch.sequence) if own else None
+        is_own_batch = batch.writer == context.identity.entry_id
+        created_at = context.cell_appends.handle_read(batch.sequence) if is_own_batch else None
         if not context.cell.apply(offset, batch, now):
             return
         context.log_read_at = now
         if created_at is not None:
             self._ownership.handle_own_batch(created_at, now)
-        if own:
+        if is_own_batch:
             for record in batch.records:
                 self._handle_own_record(record, now)
         for record in batch.records:
             if isinstance(record, JobEnded):
                 context.emit(JobFinished(record.job_id))
             elif isinstance(record, SnapshotPart):
-                self._writers[LogStream.CELL].handle_part_read(now)
+                self._snapshot_writers[LogStream.CELL].handle_part_read(now)
         self._jobs.drop_lost()
-        if _touches_ownership(batch.records):
+        if _changes_ownership(batch.records):
             self._ownership.sync_with_log(now)
         if not batch.stopping:
-            self._know_peer(batch.writer, batch.zone, batch.peer_host, batch.peer_port)
+            self._add_peer(batch.writer, batch.zone, batch.peer_host, batch.peer_port)
 
-    def _fold_settings(self, offset: Offset, batch: LogBatch, now: float) -> None:
+    def _apply_settings_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
         context = self._context
-        own = batch.writer == context.identity.entry_id
-        self._settings_offset = offset
-        if own:
+        is_own_batch = batch.writer == context.identity.entry_id
+        self._applied_settings_offset = offset
+        if is_own_batch:
             context.appends[LogStream.SETTINGS].handle_read(batch.sequence)
         for record in batch.records:
             if isinstance(record, SnapshotPart):
-                self._writers[LogStream.SETTINGS].handle_part_read(now)
+                self._snapshot_writers[LogStream.SETTINGS].handle_part_read(now)
             elif isinstance(record, SettingsApply):
                 context.settings.apply(offset, record)
-                if own:
+                if is_own_batch:
                     self._handle_own_change(record, now)
 
     def _handle_own_change(self, record: SettingsApply, now: float) -> None:
@@ -173,8 +187,8 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether both streams make sense, from their start or from a snapshot."""
-        return all(bootstrap.is_complete for bootstrap in self._bootstraps.values())
+        """Whether the states of both streams are complete, from their start or from a snapshot."""
+        return all(bootstrap.is_complete for bootstrap in self._stream_bootstraps.values())
 
     def _handle_own_record(self, record: LogRecord, now: float) -> None:
         if isinstance(record, WorkerClaim):
@@ -192,22 +206,22 @@
         elif isinstance(record, JobAdopted):
             self._jobs.handle_adoption_read(record.job_id, now)
 
-    def _know_peer(self, entry_id: str, zone: str, host: str, port: int) -> None:
-        """Keep a stream to every member that the log names."""
+    def _add_peer(self, entry_id: str, zone: str, host: str, port: int) -> None:
+        """Add a member that the log names as a peer, and connect to the member."""
         peers = self._context.peers.peers
         if entry_id == self._context.identity.entry_id or entry_id in peers:
             return
         peers[entry_id] = PeerState(entry_id, host, port, zone)
         self._context.emit(ConnectPeer(entry_id, host, port))
 
-    def _take_cell(self) -> tuple[Offset, bytes]:
+    def _capture_cell(self) -> tuple[Offset, bytes]:
         cell = self._context.cell
         return cell.applied_offset, msgspec.msgpack.encode(cell.to_snapshot())
 
-    def _take_settings(self) -> tuple[Offset, bytes]:
+    def _capture_settings(self) -> tuple[Offset, bytes]:
         data = msgspec.msgpack.encode(self._context.settings.to_snapshot())
-        return self._settings_offset, data
+        return self._applied_settings_offset, data
 
 
-def _touches_ownership(records: list[LogRecord]) -> bool:
+def _changes_ownership(records: list[LogRecord]) -> bool:
     return any(isinstance(record, WorkerClaim | WorkerRelease | WorkerDrain) for record in records)
--- a/src/onyxspoke/core/log_records.py
+++ b/src/onyxspoke/core/log_records.py
@@ -1,8 +1,8 @@
 """Records that entries append to the platform's log, and their codec.
 
-One append carries one :class:`LogBatch`.  Every batch renews its writer's lease,
-so there is no separate renewal record.  ``sequence`` makes a repeated append
-harmless: readers ignore a batch whose sequence they have already folded.
+One append contains one :class:`LogBatch`.  Every batch renews its writer's lease,
+so there is no separate renewal record.  Readers ignore a batch whose ``sequence``
+they have already applied, so a repeated append has no effect.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 
 class LogStream(Enum):
-    """Streams of the log that the system keeps."""
+    """Streams of the log."""
 
     CELL = "cell"
     SETTINGS = "settings"
 
 
 class ClaimItem(msgspec.Struct, frozen=True):
-    """One claimed worker, with what the claimant believed when it claimed.
+    """One claimed worker, and the conditions on which the claim is valid.
 
-    Readers accept the claim only if ``expected_epoch`` is still the worker's epoch and
-    the holder has appended nothing after ``holder_renewal_offset``.
+    Readers accept the claim only if ``expected_epoch`` is still the worker's epoch and the
+    previous holder has appended nothing after ``holder_renewal_offset``.
     """
 
     worker_id: WorkerId
@@ -41,7 +41,7 @@
 
 
 class WorkerRelease(msgspec.Struct, frozen=True, tag="release"):
-    """The writer gives up workers that it owns."""
+    """The writer releases workers that it owns."""
 
     worker_ids: list[WorkerId]
 
@@ -54,20 +54,20 @@
 
 
 class KeyIntent(msgspec.Struct, frozen=True, tag="key"):
-    """The writer is about to run the unrepeatable request of this idempotency key."""
+    """The writer is about to run an unrepeatable request that has this idempotency key."""
 
     key: str
     fingerprint: int
 
 
 class KeyRelease(msgspec.Struct, frozen=True, tag="key-release"):
-    """The writer's request of this key ended without having run."""
+    """The writer's request with this idempotency key ended without having run."""
 
     key: str
 
 
 class JobAccepted(msgspec.Struct, frozen=True, tag="job"):
-    """A batch job; it is durable once this record is in the log."""
+    """The writer accepts a batch job, which is durable once this record is in the log."""
 
     job: JobSubmission
 
@@ -80,10 +80,10 @@
 
 
 class JobAdopted(msgspec.Struct, frozen=True, tag="job-adopt"):
-    """The writer runs a job from now on, because its runner lapsed or released it.
+    """The writer takes over a job whose runner lost its lease or released the job.
 
-    Accepted only if ``previous_runner`` still runs the job and has appended nothing after
-    ``runner_renewal_offset``.
+    Readers accept the record only if ``previous_runner`` still runs the job and has appended
+    nothing after ``runner_renewal_offset``.
     """
 
     job_id: JobId
@@ -92,7 +92,7 @@
 
 
 class JobReleased(msgspec.Struct, frozen=True, tag="job-release"):
-    """The writer gives up a job of which it has sent no task to any worker."""
+    """The writer releases a job of which no task was sent to a worker."""
 
     job_id: JobId
 
@@ -105,7 +105,7 @@
 
 
 class SettingChange(msgspec.Struct, frozen=True):
-    """One key of the settings tree given a value, or unset with ``None``."""
+    """A new value of one key at one path of the settings tree; ``None`` unsets the key."""
 
     path: str
     key: str
@@ -114,7 +114,7 @@
 
 
 class SettingsApply(msgspec.Struct, frozen=True, tag="settings"):
-    """An atomic change of settings; all items are accepted or none."""
+    """An atomic change of settings: either all ``changes`` are accepted or none is."""
 
     change_id: str
     operator: str
@@ -122,7 +122,7 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, tag="snapshot"):
-    """One piece of a snapshot that holds the fold up to the offset ``covers``."""
+    """One part of a snapshot of a stream's state up to and including the offset ``covers``."""
 
     snapshot_id: str
     covers: Offset
@@ -148,7 +148,7 @@
 
 
 class LogBatch(msgspec.Struct, frozen=True):
-    """What one append carries; also the lease renewal of its writer."""
+    """The content of one append, which also renews the lease of its writer."""
 
     writer: EntryId
     zone: str
@@ -164,17 +164,17 @@
 
 
 def encode_batch(batch: LogBatch) -> bytes:
-    """Return the bytes of a batch as the log stores them."""
+    """Encode a batch to the bytes that the log stores."""
     return _encoder.encode(batch)
 
 
 def decode_batch(data: bytes) -> LogBatch:
-    """Return the batch that the bytes hold.
+    """Decode a batch from the bytes that the log stores.
 
     Raises
     ------
     OnyxspokeError
-        With ``PROTOCOL_ERROR`` if the bytes are not a batch.
+        With ``PROTOCOL_ERROR`` if the bytes are not a valid batch.
     """
     try:
         return _decoder.decode(data)
--- a/src/onyxspoke/core/owned_worker.py
+++ b/src/onyxspoke/core/owned_worker.py
@@ -1,7 +1,8 @@
-"""One owned worker: its lifecycle, and the capacity reserved on it.
+"""Lifecycle and capacity reservations of one owned worker.
 
-Capacity is reserved here before a task is sent and freed only by the worker's own
-word that the task ended; a lagging usage report never frees anything.
+Capacity is reserved before a task is sent to the worker.  A reservation is released only
+when the worker reports that the task ended or did not start; a usage report, which may be
+out of date, never releases capacity.
 """
 
 from __future__ import annotations
@@ -55,17 +56,17 @@
 
     @property
     def worker_id(self) -> WorkerId:
-        """The worker's identifier."""
+        """Identifier of the worker."""
         return self.machine.worker_id
 
     @property
     def token(self) -> FencingToken:
-        """The fencing token of commands sent now."""
+        """The fencing token for commands of the current epoch and session."""
         return FencingToken(self.epoch, self.session)
 
     @property
     def accepts_work(self) -> bool:
-        """Whether new work may be sent to it."""
+        """Whether new work may be sent to the worker."""
         return (
             self.state is WorkerState.ACTIVE
             and not self.draining
@@ -74,24 +75,27 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether what runs on it is known now."""
+        """Whether the worker is attached, so that its running tasks are known."""
         return self.state is WorkerState.ACTIVE
 
     def transition(self, target: WorkerState) -> None:
-        """Move to another state; only moves of the table are allowed."""
+        """Change the state, if ``ALLOWED_WORKER_TRANSITIONS`` permits the transition."""
         if target is self.state:
             return
         if target not in ALLOWED_WORKER_TRANSITIONS[self.state]:
-            raise ValueError(f"worker {self.worker_id}: {self.state.value} -> {target.value}")
+            raise ValueError(
+                f"worker {self.worker_id}: transition {self.state.value} -> {target.value} "
+                "is not allowed"
+            )
         self.state = target
 
     def reserve(self, task: RunningTask) -> None:
-        """Reserve capacity for an attempt."""
+        """Reserve the resources of a task."""
         self.tasks[task.attempt_id] = task
         self._set_free(self.free.minus(task.resources))
 
     def release(self, attempt_id: AttemptId) -> bool:
-        """Free what an attempt reserved; return whether it was known."""
+        """Release the resources of an attempt; return whether the attempt had a reservation."""
         task = self.tasks.pop(attempt_id, None)
         if task is None:
             return False
@@ -99,7 +103,7 @@
         return True
 
     def load_inventory(self, capacity: Resources, running: Iterable[RunningTask]) -> None:
-        """Replace all reservations by what the worker says that it runs."""
+        """Replace all reservations by those of the tasks in the worker's inventory."""
         self.capacity = capacity
         self.tasks = {}
         self._set_free(capacity)
@@ -112,7 +116,7 @@
 
 
 def _occupied_share(capacity: Resources, free: Resources) -> float:
-    """Return the largest occupied share of any resource, 0 to 1."""
+    """Return the occupied share, 0 to 1, of the worker's most occupied resource."""
     shares = [
         1 - available / total
         for available, total in (
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -1,6 +1,6 @@
-"""Which workers this entry should claim or release: wanted compared with seen.
+"""Decides which workers this entry claims and which ones it releases.
 
-Candidates are the live entries of the worker's own zone, by rendezvous hashing.
+Rendezvous hashing assigns each worker to one of the live entries of the worker's zone.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class LeaseOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Times of entry leases, in seconds.
+    """Durations of entry leases, in seconds.
 
-    A holder stops at ``lease_seconds`` after it *created* its last renewal; a claimant
-    waits ``lease_seconds + margin_seconds`` after it *read* that renewal, which is later.
-    The margin covers the difference in rate of two monotonic clocks.
+    A holder's lease ends ``lease_seconds`` after the holder *created* its last renewal.
+    A claimant waits for ``lease_seconds + margin_seconds`` after it *read* that renewal, which
+    is later.  The margin covers the difference in rate between two monotonic clocks.
     """
 
     lease_seconds: float = 5.0
@@ -30,26 +30,26 @@
 
     @property
     def lapse_seconds(self) -> float:
-        """Silence after which a member counts as gone."""
+        """Time without a new batch after which a member counts as failed."""
         return self.lease_seconds + self.margin_seconds
 
 
 class OwnershipPlan(msgspec.Struct, frozen=True):
-    """What to append to bring ownership to where it should be."""
+    """The claims and releases that this entry should append to the log."""
 
     claims: list[ClaimItem]
     releases: list[WorkerId]
 
 
 class PreferenceCache:
-    """Which live entry each worker prefers, computed anew only when either changes."""
+    """Caches the live entry that hashing prefers for each worker, until the entries change."""
 
     def __init__(self) -> None:
         self._live: list[EntryId] = []
         self._preferred: dict[WorkerId, EntryId | None] = {}
 
     def preferred(self, worker_id: WorkerId, live: list[EntryId]) -> EntryId | None:
-        """Return the entry that a worker prefers among the live ones."""
+        """Return the live entry that rendezvous hashing prefers for a worker."""
         if live != self._live:
             self._live = list(live)
             self._preferred.clear()
@@ -67,24 +67,24 @@
     cache: PreferenceCache,
     promised_until: Mapping[EntryId, float],
 ) -> OwnershipPlan:
-    """Compare wanted ownership with the folded one.
+    """Compare the ownership that hashing assigns with the ownership in the log.
 
     Parameters
     ----------
     identity : EntryIdentity
         The entry that plans.
     cell : CellState
-        What the log says.
+        State of the cell, rebuilt from the log.
     machines : iterable of MachineRecord
-        The machine list; only machines of the entry's zone count.
+        The machine list; machines of other zones are ignored.
     now : float
-        This entry's monotonic clock.
+        Time on this entry's monotonic clock, in seconds.
     options : LeaseOptions
-        Lease times.
+        Durations of leases.
     cache : PreferenceCache
-        Remembers preferences from one plan to the next.
+        Keeps the preferred entries from one plan to the next.
     promised_until : mapping
-        Until when this entry promised holders not to claim their workers.
+        Time, for each holder, until which this entry promised not to claim its workers.
     """
     live = cell.live_members(identity.zone, now, options.lapse_seconds)
     claims: list[ClaimItem] = []
@@ -94,21 +94,21 @@
     for machine in machines:
         if machine.zone != identity.zone:
             continue
-        wanted_here = cache.preferred(machine.worker_id, live) == identity.entry_id
-        held_here = cell.holding_of(machine.worker_id).holder == identity.entry_id
-        if held_here and not wanted_here:
+        should_own = cache.preferred(machine.worker_id, live) == identity.entry_id
+        owns_worker = cell.holding_of(machine.worker_id).holder == identity.entry_id
+        if owns_worker and not should_own:
             releases.append(machine.worker_id)
-        elif wanted_here and not held_here and machine.listing is WorkerListing.LIVE:
+        elif should_own and not owns_worker and machine.listing is WorkerListing.LIVE:
             holder = cell.holding_of(machine.worker_id).holder
             if now < promised_until.get(holder, now):
                 continue
-            claim = _claim_if_free(cell, machine.worker_id, now, options)
+            claim = _make_claim_if_expired(cell, machine.worker_id, now, options)
             if claim is not None:
                 claims.append(claim)
     return OwnershipPlan(claims, releases)
 
 
-def _claim_if_free(
+def _make_claim_if_expired(
     cell: CellState, worker_id: WorkerId, now: float, options: LeaseOptions
 ) -> ClaimItem | None:
     holding = cell.holding_of(worker_id)
--- a/src/onyxspoke/core/ownership_keeper.py
+++ b/src/onyxspoke/core/ownership_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps this entry's lease, and its owned workers in step with the log."""
+"""Keeps the entry's lease and its set of owned workers up to date with the log."""
 
 from __future__ import annotations
 
@@ -11,52 +11,55 @@
 
 
 class OwnershipKeeper:
-    """Claims, attaches, releases and drops workers."""
+    """Claims, attaches, releases and detaches the workers of this entry."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
         self._preferences = PreferenceCache()
-        self._claims_pending: set[WorkerId] = set()
-        self._releases_pending: set[WorkerId] = set()
-        self._attached: set[WorkerId] = set()
-        self._joined_at: float | None = None
+        self._pending_claim_ids: set[WorkerId] = set()
+        self._pending_release_ids: set[WorkerId] = set()
+        self._attached_ids: set[WorkerId] = set()
+        self._first_renewal_read_at: float | None = None
         self._next_plan_at = float("-inf")
 
     def handle_machine_list(self, machines: list[MachineRecord]) -> list[WorkerId]:
-        """Take a new machine list; return the owned workers that are no longer on it."""
+        """Apply a new machine list; return the owned workers that the list no longer contains."""
         context = self._context
         context.machines = {machine.worker_id: machine for machine in machines}
-        gone: list[WorkerId] = []
+        removed_ids: list[WorkerId] = []
         for worker in list(context.workers.workers.values()):
             machine = context.machines.get(worker.worker_id)
             if machine is None:
-                gone.append(worker.worker_id)
+                removed_ids.append(worker.worker_id)
             else:
                 worker.machine = machine
                 context.workers.refresh(worker)
-        return gone
+        return removed_ids
 
     def handle_own_batch(self, created_at: float, now: float) -> None:
-        """Extend the lease: an own batch, created at that time, was read back."""
+        """Extend the lease, because a batch of this entry was read back from the log.
+
+        The lease is counted from ``created_at``, the time at which the batch was created.
+        """
         context = self._context
         lease_until = created_at + context.options.lease.lease_seconds
         context.lease_until = max(context.lease_until, lease_until)
-        if self._joined_at is None:
-            self._joined_at = now
+        if self._first_renewal_read_at is None:
+            self._first_renewal_read_at = now
 
     def sync_with_log(self, now: float) -> list[WorkerId]:
-        """Bring the worker table in step with the fold; return the workers that were lost."""
-        lost = self._drop_lost()
-        self._adopt_claimed(now)
+        """Update the worker table from the state of the cell; return the workers that were lost."""
+        lost_ids = self._drop_lost()
+        self._attach_claimed(now)
         for worker in self._context.workers.workers.values():
             worker.draining = worker.worker_id in self._context.cell.draining
             self._context.workers.refresh(worker)
-        return lost
+        return lost_ids
 
     def plan(self, now: float) -> None:
-        """Append claims and releases where wanted and seen ownership differ."""
+        """Append claims and releases for workers whose preferred entry is not their owner."""
         context = self._context
-        if now < self._next_plan_at or not self._has_settled(now):
+        if now < self._next_plan_at or not self._is_past_settle_time(now):
             return
         self._next_plan_at = now + context.options.plan_interval_seconds
         if context.stopping:
@@ -72,18 +75,18 @@
         )
         self._append_claims(plan.claims)
         self._append_releases(plan.releases)
-        context.cell.forget_members(now, context.options.lease.forget_seconds)
+        context.cell.remove_expired_members(now, context.options.lease.forget_seconds)
 
     def release_all(self) -> None:
-        """Give up every owned worker, as part of a planned stop."""
+        """Release every owned worker, as part of a planned stop."""
         self._append_releases(list(self._context.workers.workers))
 
     def reattach(self, now: float) -> None:
-        """Try again to attach workers whose connection or answer is missing."""
+        """Attach the workers again that are disconnected or have not answered."""
         interval = self._context.options.reattach_interval_seconds
         for worker in self._context.workers.workers.values():
-            waits = worker.state is not WorkerState.ACTIVE
-            if waits and now - worker.attach_sent_at >= interval:
+            needs_attach = worker.state is not WorkerState.ACTIVE
+            if needs_attach and now - worker.attach_sent_at >= interval:
                 self._attach(worker, now)
         self._detach_idle()
 
@@ -94,7 +97,7 @@
         capacity: Resources,
         running: list[RunningTask],
     ) -> bool:
-        """Take a worker's inventory; return whether the worker became active."""
+        """Load a worker's inventory; return whether the worker became active."""
         worker = self._context.workers.workers.get(worker_id)
         if worker is None or worker.token != token or worker.state is WorkerState.ACTIVE:
             return False
@@ -104,8 +107,8 @@
         return True
 
     def handle_disconnect(self, worker_id: WorkerId) -> bool:
-        """Note that the connection to a worker was lost; return whether it is still ours."""
-        self._attached.discard(worker_id)
+        """Handle a lost connection to a worker; return whether this entry still owns the worker."""
+        self._attached_ids.discard(worker_id)
         worker = self._context.workers.workers.get(worker_id)
         if worker is None:
             return False
@@ -113,53 +116,56 @@
         self._context.workers.refresh(worker)
         return True
 
-    def _has_settled(self, now: float) -> bool:
-        if self._joined_at is None:
+    def _is_past_settle_time(self, now: float) -> bool:
+        if self._first_renewal_read_at is None:
             return False
-        return now - self._joined_at >= self._context.options.lease.settle_seconds
+        return now - self._first_renewal_read_at >= self._context.options.lease.settle_seconds
 
     def _append_claims(self, claims: list[ClaimItem]) -> None:
-        fresh = [item for item in claims if item.worker_id not in self._claims_pending]
+        fresh = [item for item in claims if item.worker_id not in self._pending_claim_ids]
         if fresh:
-            self._claims_pending.update(item.worker_id for item in fresh)
+            self._pending_claim_ids.update(item.worker_id for item in fresh)
             holding_of = self._context.cell.holding_of
             self._context.claimed_from.update(holding_of(item.worker_id).holder for item in fresh)
             self._context.cell_appends.add(WorkerClaim(fresh))
 
     def _append_releases(self, worker_ids: list[WorkerId]) -> None:
-        fresh = [worker for worker in worker_ids if worker not in self._releases_pending]
+        fresh = [worker for worker in worker_ids if worker not in self._pending_release_ids]
         if not fresh:
             return
-        self._releases_pending.update(fresh)
+        self._pending_release_ids.update(fresh)
         for worker_id in fresh:
-            # From here on nothing new goes to it, though the record is not yet read back.
+            # The worker gets no new task from now on, even before the release is read back.
             self._context.workers.remove(worker_id)
         self._context.cell_appends.add(WorkerRelease(fresh))
 
     def handle_own_records(self, claims: list[ClaimItem], releases: list[WorkerId]) -> None:
-        """Note that own claims and releases were read back, whatever the fold decided."""
-        self._claims_pending.difference_update(item.worker_id for item in claims)
-        if not self._claims_pending:
+        """Handle this entry's claims and releases that were read back from the log.
+
+        They are no longer pending, whether or not readers accept them.
+        """
+        self._pending_claim_ids.difference_update(item.worker_id for item in claims)
+        if not self._pending_claim_ids:
             self._context.claimed_from.clear()
-        self._releases_pending.difference_update(releases)
+        self._pending_release_ids.difference_update(releases)
 
     def _drop_lost(self) -> list[WorkerId]:
         context = self._context
-        lost = [
+        lost_ids = [
             worker.worker_id
             for worker in context.workers.workers.values()
             if context.cell.holding_of(worker.worker_id).holder != context.identity.entry_id
         ]
-        for worker_id in lost:
+        for worker_id in lost_ids:
             context.workers.remove(worker_id)
-        return lost
+        return lost_ids
 
-    def _adopt_claimed(self, now: float) -> None:
+    def _attach_claimed(self, now: float) -> None:
         context = self._context
         for worker_id, holding in context.cell.holdings.items():
             if holding.holder != context.identity.entry_id:
                 continue
-            if worker_id in self._releases_pending:
+            if worker_id in self._pending_release_ids:
                 continue
             machine = context.machines.get(worker_id)
             owned = context.workers.workers.get(worker_id)
@@ -172,15 +178,15 @@
         worker.session += 1
         worker.transition(WorkerState.ATTACHING)
         self._context.workers.refresh(worker)
-        self._attached.add(worker.worker_id)
+        self._attached_ids.add(worker.worker_id)
         self._context.emit(AttachWorker(worker.machine, worker.token))
 
     def _detach_idle(self) -> None:
         context = self._context
-        candidates = self._attached - context.workers.workers.keys()
-        if not candidates:
+        candidate_ids = self._attached_ids - context.workers.workers.keys()
+        if not candidate_ids:
             return
-        busy = {request.worker_id for request in context.attempts.values()}
-        for worker_id in sorted(candidates - busy):
-            self._attached.discard(worker_id)
+        busy_ids = {request.worker_id for request in context.attempts.values()}
+        for worker_id in sorted(candidate_ids - busy_ids):
+            self._attached_ids.discard(worker_id)
             context.emit(DetachWorker(worker_id))
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -1,7 +1,7 @@
-"""The decision core of one entry: stimuli in, actions out.
+"""The scheduling core of one entry, which turns events into actions.
 
-Every ``stimulus_`` method takes what happened and the time, and returns the actions that
-the shell is to carry out.  Nothing here does I/O, reads a clock or draws a random number.
+Every ``on_`` method handles one event at a given time and returns the actions that the
+shell carries out.  The core does no I/O, reads no clock and draws no random numbers.
 """
 
 from __future__ import annotations
@@ -59,19 +59,19 @@
 
 
 class EntryScheduler:
-    """All decisions of one entry.
+    """Makes all decisions of one entry.
 
     Parameters
     ----------
     identity : EntryIdentity
-        Who this entry is.
+        Identity of this entry.
     options : CoreOptions
-        Tunable behaviour.
+        Options of the scheduling core.
     """
 
     def __init__(self, identity: EntryIdentity, options: CoreOptions) -> None:
         self.context = make_context(identity, options)
-        self.dispatcher = RequestDispatcher(self.context, self._deliver)
+        self.dispatcher = RequestDispatcher(self.context, self._deliver_answer)
         self.keys = KeyGuard(self.context, self.dispatcher)
         self.acceptance = JobAcceptance(self.context)
         self.jobs = JobRunner(self.context, self.dispatcher)
@@ -96,20 +96,22 @@
     def on_request(
         self, request_id: str, request: TaskRequest, patience_seconds: float, now: float
     ) -> list[Action]:
-        """A caller submits a request and waits for its answer."""
-        active = self._make_request(request_id, request, CallerOrigin(), patience_seconds, now)
+        """Handle a request whose caller waits for the answer."""
+        active_request = self._register_request(
+            request_id, request, CallerOrigin(), patience_seconds, now
+        )
         if not request.task_class.repeatable and request.idempotency_key:
-            # Served even while stopping: only the log can tell whether a key has run, so
-            # a refusal at the door could not truthfully say "not run".
-            self.keys.admit(active, now)
+            # A keyed request is admitted even while the entry stops: only the log can tell
+            # whether the key has run, so an early refusal with "not run" could be wrong.
+            self.keys.admit(active_request, now)
         elif self.context.stopping:
-            return self._refuse(active, ResultCode.ENTRY_STOPPING, now)
+            return self._refuse_request(active_request, ResultCode.ENTRY_STOPPING, now)
         else:
-            self.dispatcher.place_or_queue(active, now)
+            self.dispatcher.place_or_queue(active_request, now)
         return self._take_actions(now)
 
     def on_hang_up(self, request_id: str, now: float) -> list[Action]:
-        """A caller went away without its answer."""
+        """Handle a caller that disconnected before it got its answer."""
         request = self.context.requests.get(request_id)
         if request is not None:
             self.dispatcher.hang_up(request, now)
@@ -118,25 +120,25 @@
     def on_job(
         self, request_id: str, job: JobSubmission, patience_seconds: float, now: float
     ) -> list[Action]:
-        """A caller submits a durable job and waits for its acceptance."""
+        """Handle a durable job whose caller waits until the job is accepted."""
         if self.context.stopping and not job.request.idempotency_key:
             answer = self.context.refusal(ResultCode.ENTRY_STOPPING)
             self.context.emit(AnswerCaller(request_id, answer))
         else:
-            known = self.acceptance.submit(request_id, job, now + patience_seconds)
-            if known is not None:
-                self.context.emit(AnswerCaller(request_id, known))
+            known_answer = self.acceptance.submit(request_id, job, now + patience_seconds)
+            if known_answer is not None:
+                self.context.emit(AnswerCaller(request_id, known_answer))
         return self._take_actions(now)
 
     def on_cancel_job(self, job_id: JobId, now: float) -> list[Action]:
-        """A caller cancels a job that this entry runs."""
+        """Cancel a job that this entry runs, at a caller's request."""
         self.jobs.cancel(job_id, now)
         return self._take_actions(now)
 
     # Workers
 
     def on_machine_list(self, machines: list[MachineRecord], now: float) -> list[Action]:
-        """The platform sent its machine list."""
+        """Apply a new machine list from the platform."""
         for worker_id in self.ownership.handle_machine_list(machines):
             self.context.workers.remove(worker_id)
             self.dispatcher.give_up_attempts(worker_id, now)
@@ -151,7 +153,7 @@
         running: list[RunningTask],
         now: float,
     ) -> list[Action]:
-        """A worker accepted the token and says what it runs."""
+        """Handle the inventory of a worker that accepted this entry's fencing token."""
         if self.ownership.handle_inventory(worker_id, token, capacity, running):
             still_running = {task.attempt_id for task in running}
             self.dispatcher.handle_missing_attempts(worker_id, still_running, now)
@@ -159,7 +161,7 @@
         return self._take_actions(now)
 
     def on_worker_disconnected(self, worker_id: WorkerId, now: float) -> list[Action]:
-        """The connection to a worker was lost."""
+        """Handle the loss of the connection to a worker."""
         if not self.ownership.handle_disconnect(worker_id):
             self.jobs.look_for_tasks_on(worker_id, now)
             self.dispatcher.give_up_attempts(worker_id, now)
@@ -173,7 +175,7 @@
         task_name: TaskName,
         now: float,
     ) -> list[Action]:
-        """A worker says that an attempt ended."""
+        """Handle a worker's report that an attempt ended."""
         self._release_capacity(worker_id, attempt_id)
         if attempt_id in self.context.attempts:
             self.dispatcher.handle_task_ended(attempt_id, answer, now)
@@ -185,7 +187,7 @@
     def on_task_refused(
         self, worker_id: WorkerId, attempt_id: AttemptId, code: ResultCode, now: float
     ) -> list[Action]:
-        """A worker, or the shell before sending, says that an attempt did not start."""
+        """Handle an attempt that a worker refused or that the shell did not send."""
         self._release_capacity(worker_id, attempt_id)
         self.dispatcher.handle_task_refused(attempt_id, code, now)
         return self._take_actions(now)
@@ -193,48 +195,51 @@
     # Log
 
     def on_log_start(
-        self, stream: LogStream, first_kept: Offset, next_offset: Offset, now: float
+        self, stream: LogStream, first_retained_offset: Offset, next_offset: Offset, now: float
     ) -> list[Action]:
-        """The log tells from which offset on it keeps a stream; we want ``next_offset``."""
-        self.log.handle_start(stream, first_kept, next_offset)
+        """Handle the offset from which on the log retains a stream.
+
+        ``next_offset`` is the first offset that this entry has not read.
+        """
+        self.log.handle_stream_start(stream, first_retained_offset, next_offset)
         return self._take_actions(now)
 
     def on_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> list[Action]:
-        """One batch of the cell stream was read."""
-        self.log.read_cell(offset, batch, now)
+        """Handle one batch that was read from the cell stream."""
+        self.log.handle_cell_batch(offset, batch, now)
         return self._take_actions(now)
 
     def on_settings_batch(self, offset: Offset, batch: LogBatch, now: float) -> list[Action]:
-        """One batch of the settings stream was read."""
-        self.log.read_settings(offset, batch, now)
+        """Handle one batch that was read from the settings stream."""
+        self.log.handle_settings_batch(offset, batch, now)
         return self._take_actions(now)
 
     def on_append_failed(self, stream: LogStream, now: float) -> list[Action]:
-        """An append was refused, or its answer was lost; it is sent again later."""
+        """Handle an append that failed or whose answer was lost; the batch is sent again later."""
         self.context.appends[stream].handle_failure(now)
         return self._take_actions(now)
 
     def on_settings_change(self, apply: SettingsApply, now: float) -> list[Action]:
-        """An operator changes settings; the fold decides."""
+        """Append an operator's settings change; the log's order decides whether it is accepted."""
         self.pending_changes.submit(apply, now)
         return self._take_actions(now)
 
     def on_drain(self, worker_id: WorkerId, draining: bool, now: float) -> list[Action]:
-        """An operator takes a worker out of use or back into it."""
+        """Append an operator's command that starts or ends the drain of a worker."""
         self.context.cell_appends.add(WorkerDrain(worker_id, draining))
         return self._take_actions(now)
 
     # Peers
 
     def on_peer_connected(self, peer_id: EntryId, now: float) -> list[Action]:
-        """The stream to a peer is up."""
+        """Handle a new message stream to a peer."""
         peer = self.context.peers.peers.get(peer_id)
         if peer is not None:
             peer.connected = True
         return self._take_actions(now)
 
     def on_peer_disconnected(self, peer_id: EntryId, now: float) -> list[Action]:
-        """The stream to a peer was lost."""
+        """Handle the loss of the message stream to a peer."""
         peer = self.context.peers.peers.get(peer_id)
         if peer is not None:
             peer.connected = False
@@ -250,7 +255,7 @@
         settings_revision: Offset,
         now: float,
     ) -> list[Action]:
-        """A peer advertised its free capacity and its settings revision."""
+        """Handle a peer's advertisement of its free capacity and settings revision."""
         self.settings_watch.handle_peer_revision(peer_id, settings_revision, now)
         lifetime = self.context.options.advertisement_lifetime_seconds
         self.context.peers.handle_advertisement(peer_id, free, largest_free, now + lifetime)
@@ -265,22 +270,22 @@
         remaining_seconds: float,
         now: float,
     ) -> list[Action]:
-        """A peer forwarded a request."""
+        """Handle a request that a peer forwarded."""
         origin = PeerOrigin(peer_id, request_id)
         local_id = f"{request_id}@{peer_id}"
-        active = self._make_request(local_id, request, origin, remaining_seconds, now)
+        active_request = self._register_request(local_id, request, origin, remaining_seconds, now)
         if self.context.stopping:
-            return self._refuse(active, ResultCode.ENTRY_STOPPING, now)
+            return self._refuse_request(active_request, ResultCode.ENTRY_STOPPING, now)
         if request.task_name and not self._is_runner(peer_id, request.task_name):
-            # The job was adopted by another entry since the peer sent this.
-            return self._refuse(active, ResultCode.STALE_EPOCH, now)
-        self.dispatcher.place_or_queue(active, now)
+            # Another entry has taken over the job after the peer sent the request.
+            return self._refuse_request(active_request, ResultCode.STALE_EPOCH, now)
+        self.dispatcher.place_or_queue(active_request, now)
         return self._take_actions(now)
 
     def on_peer_answer(
         self, peer_id: EntryId, request_id: str, answer: Answer, now: float
     ) -> list[Action]:
-        """A peer answered a forwarded request or a key query."""
+        """Handle a peer's answer to a forwarded request or a key query."""
         if request_id in self.context.requests:
             self.dispatcher.handle_peer_answer(peer_id, request_id, answer, now)
             self.dispatcher.pump(now)
@@ -289,7 +294,7 @@
         return self._take_actions(now)
 
     def on_key_query(self, peer_id: EntryId, request_id: str, key: str, now: float) -> list[Action]:
-        """A peer asks for the answer under a key that this entry holds."""
+        """Handle a peer's query for the answer under an idempotency key that this entry holds."""
         answer = self.keys.handle_query(peer_id, request_id, key)
         if answer is not None:
             self.context.emit(AnswerPeer(peer_id, request_id, answer))
@@ -298,7 +303,7 @@
     def on_job_probe(
         self, peer_id: EntryId, probe_id: int, job_ids: list[JobId], now: float
     ) -> list[Action]:
-        """A peer that adopted jobs asks what of them runs on our workers."""
+        """Handle a probe for tasks, by a peer that has taken over their jobs."""
         self.jobs.recovery.answer_probe(peer_id, probe_id, job_ids)
         return self._take_actions(now)
 
@@ -310,36 +315,36 @@
         running: list[TaskName],
         now: float,
     ) -> list[Action]:
-        """A peer answered a probe."""
+        """Handle a peer's answer to a probe."""
         self.jobs.recovery.handle_reply(peer_id, probe_id, worker_ids, running)
         self.jobs.continue_recovered(now)
         return self._take_actions(now)
 
     def on_task_answer(self, task_name: TaskName, answer: Answer, now: float) -> list[Action]:
-        """A peer passed on the answer of a task of a job that this entry runs."""
+        """Handle the answer of a job's task that a peer forwarded to this entry."""
         self.jobs.handle_task_answer(JobOrigin(*split_task_name(task_name)), answer)
         return self._take_actions(now)
 
     def on_holdover_request(self, peer_id: EntryId, round_number: int, now: float) -> list[Action]:
-        """A zone peer without the log asks for a promise."""
+        """Handle a holdover request of a zone peer that cannot reach the log."""
         self.holdover.handle_request(peer_id, round_number, now)
         return self._take_actions(now)
 
     def on_holdover_grant(self, peer_id: EntryId, round_number: int, now: float) -> list[Action]:
-        """A zone peer promised to claim nothing of ours."""
+        """Handle a zone peer's promise not to claim this entry's workers and jobs."""
         self.holdover.handle_grant(peer_id, round_number)
         return self._take_actions(now)
 
     # Time and stopping
 
     def on_tick(self, now: float) -> list[Action]:
-        """Some time has passed."""
+        """Run all periodic work that is due."""
         self.ownership.plan(now)
         self.ownership.reattach(now)
         self.holdover.keep(now)
-        self.log.keep_snapshots(now)
-        self.settings_watch.keep(now)
-        self.pending_changes.keep(now)
+        self.log.write_due_snapshots(now)
+        self.settings_watch.tick(now)
+        self.pending_changes.tick(now)
         self.jobs.keep(now)
         self.keys.refuse_while_log_is_down(now)
         for request_id, answer in self.acceptance.give_up(now):
@@ -351,23 +356,23 @@
         return self._take_actions(now)
 
     def on_stop(self, now: float) -> list[Action]:
-        """Begin a planned stop: take no new work, finish what is in progress."""
+        """Begin a planned stop: refuse new work and finish the work in progress."""
         self.planned_stop.begin(now)
         self.peers.advertise_soon()
         return self.on_tick(now)
 
     def flush_appends(self, now: float) -> list[Action]:
-        """Send waiting records whose time has come."""
+        """Send the pending records whose batch is due."""
         return self._take_actions(now)
 
     def next_append_at(self) -> float | None:
-        """Return when the shell should tick for the sake of waiting records."""
-        moments = [appends.due_at() for appends in self.context.appends.values()]
-        return min((moment for moment in moments if moment is not None), default=None)
+        """Return when the shell should call ``flush_appends``; ``None`` if no record is pending."""
+        due_times = [appends.next_send_at() for appends in self.context.appends.values()]
+        return min((due_time for due_time in due_times if due_time is not None), default=None)
 
     # Internals
 
-    def _make_request(
+    def _register_request(
         self,
         request_id: str,
         request: TaskRequest,
@@ -375,22 +380,22 @@
         patience_seconds: float,
         now: float,
     ) -> ActiveRequest:
-        active = ActiveRequest(
+        active_request = ActiveRequest(
             request_id=request_id,
             request=request,
             origin=origin,
             deadline=now + patience_seconds,
             received_at=now,
         )
-        self.dispatcher.register(active)
-        return active
+        self.dispatcher.register(active_request)
+        return active_request
 
-    def _refuse(self, request: ActiveRequest, code: ResultCode, now: float) -> list[Action]:
+    def _refuse_request(self, request: ActiveRequest, code: ResultCode, now: float) -> list[Action]:
         self.dispatcher.answer(request, self.context.refusal(code), now)
         return self._take_actions(now)
 
-    def _deliver(self, request: ActiveRequest, answer: Answer, now: float) -> None:
-        """Send the final answer of a request to where it came from."""
+    def _deliver_answer(self, request: ActiveRequest, answer: Answer, now: float) -> None:
+        """Send the final answer of a request to the request's origin."""
         origin = request.origin
         if isinstance(origin, JobOrigin):
             self.jobs.handle_task_answer(origin, answer)
@@ -407,9 +412,9 @@
                 peer_id = waiter.origin.peer_id
                 self.context.emit(AnswerPeer(peer_id, waiter.request_id, answer))
                 continue
-            waiting = self.context.requests.get(waiter.request_id)
-            if waiting is not None:
-                self.dispatcher.answer(waiting, answer, now)
+            waiting_request = self.context.requests.get(waiter.request_id)
+            if waiting_request is not None:
+                self.dispatcher.answer(waiting_request, answer, now)
 
     def _is_runner(self, peer_id: EntryId, task_name: TaskName) -> bool:
         entry = self.context.cell.jobs.get(split_task_name(task_name)[0])
--- a/src/onyxspoke/core/schema.py
+++ b/src/onyxspoke/core/schema.py
@@ -1,7 +1,7 @@
-"""Typed records shared by the core, the wire protocols and the kit.
+"""Typed records shared by the scheduling core, the wire protocols and the test kit.
 
-All times are seconds of the reader's own monotonic clock unless a name says
-otherwise; memory is MiB; processors are whole cores.
+Times are in seconds of the reader's own monotonic clock unless a name says otherwise.
+Memory is in MiB.  Processors are whole cores.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 WorkerId = str
 AttemptId = str
 JobId = str
-#: Names one task of a job, ``JOB#INDEX``; empty for a request of a caller.
+#: Name of one task of a job, in the form ``JOB#INDEX``; empty for a caller's own request.
 TaskName = str
 Epoch = int
 Offset = int
 
 
 class Priority(IntEnum):
-    """Order of waiting work; a lower number goes first."""
+    """Priority of waiting work; the lowest number is started first."""
 
     URGENT = 0
     NORMAL = 1
@@ -31,7 +31,7 @@
 
 
 class PlacementPolicy(Enum):
-    """How a service's tasks are laid on workers."""
+    """How a service's tasks are placed on workers."""
 
     SPREAD = "spread"
     PACK = "pack"
@@ -53,7 +53,7 @@
     slots: int = 1
 
     def fits_in(self, other: Resources) -> bool:
-        """Return whether this amount is available in ``other``."""
+        """Return whether no resource of this amount exceeds the same resource of ``other``."""
         return (
             self.slots <= other.slots
             and self.processors <= other.processors
@@ -88,7 +88,7 @@
 
 
 class TaskClass(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A class of work of one service, as the catalog describes it."""
+    """A task class of one service, as the catalog describes it."""
 
     service: str
     name: str
@@ -102,7 +102,11 @@
 
 
 class TaskRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One task to run; ``payload`` is opaque to onyxspoke, workers repeat ``task_name``."""
+    """One task to run.
+
+    The scheduler does not interpret ``payload``.  A worker returns ``task_name`` with the
+    answer.
+    """
 
     tenant: str
     task_class: TaskClass
@@ -112,7 +116,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """The one final answer to a request."""
+    """The final answer to a request."""
 
     code: ResultCode
     result: bytes = b""
@@ -122,16 +126,16 @@
 
     @property
     def outcome(self) -> OutcomeKind:
-        """The outcome that the code stands for."""
+        """The outcome that the result code belongs to."""
         return outcome_of(self.code)
 
 
 class FencingToken(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Orders all commands to one worker; a worker refuses any below the highest it saw.
+    """Orders all commands to one worker, which refuses tokens below the highest one received.
 
-    ``epoch`` rises with every change of owner (the log offset of the claim); ``session``
-    rises with every attachment of one owner, so that a command left over on a broken
-    connection is refused after the reattachment.
+    ``epoch`` is the log offset of the owner's claim, so it increases with every change of
+    owner.  ``session`` increases each time the owner attaches the worker, so that the worker
+    refuses a late command from an earlier connection.
     """
 
     epoch: Epoch
@@ -139,7 +143,7 @@
 
 
 class RunningTask(msgspec.Struct, frozen=True, array_like=True):
-    """A task that a worker holds, as its inventory reports it."""
+    """A running task in the inventory that a worker reports."""
 
     attempt_id: AttemptId
     resources: Resources
@@ -159,7 +163,7 @@
 
 
 class EntryIdentity(msgspec.Struct, frozen=True):
-    """Who an entry process is; ``entry_id`` differs between two runs of one entry."""
+    """Identity of an entry process; each incarnation of an entry has its own ``entry_id``."""
 
     entry_id: EntryId
     region: str
@@ -169,7 +173,7 @@
 
 
 class JobSubmission(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A batch job as its caller submits it."""
+    """A batch job, as its caller submitted the job."""
 
     job_id: JobId
     request: TaskRequest
@@ -182,11 +186,11 @@
 
 
 def split_task_name(name: TaskName) -> tuple[JobId, int]:
-    """Return the job and the index that a task's name stands for."""
+    """Return the job and the task index that a task's name consists of."""
     job_id, _, index = name.rpartition("#")
     return job_id, int(index)
 
 
 def is_task_name(name: str) -> bool:
-    """Return whether a request's identifier names a task of a job."""
+    """Return whether an identifier is the name of a job's task."""
     return "#" in name
--- a/src/onyxspoke/core/settings_in_force.py
+++ b/src/onyxspoke/core/settings_in_force.py
@@ -1,4 +1,4 @@
-"""What the settings in force say of a class of work at an entry's place in the tree."""
+"""Applies the settings in force in an entry's zone to task classes and services."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 def resolve_task_class(context: EntryContext, task_class: TaskClass) -> TaskClass:
-    """Return a task class with the settings in force."""
+    """Return a copy of a task class in which the settings in force override its own values."""
     settings = context.settings
     if settings.revision == 0:
         return task_class
-    path = _path_of(context, task_class)
+    path = _settings_path(context, task_class)
     policy = settings.resolve(path, "placement.policy")
     if policy is not None:
         value = PlacementPolicy(policy.value)
@@ -30,11 +30,11 @@
 
 
 def admits(context: EntryContext, task_class: TaskClass) -> bool:
-    """Return whether new work of a service is let in."""
-    admitted = context.settings.resolve(_path_of(context, task_class), "service.admitted")
+    """Return whether the settings in force admit new work of a task class."""
+    admitted = context.settings.resolve(_settings_path(context, task_class), "service.admitted")
     return admitted is None or bool(admitted.value)
 
 
-def _path_of(context: EntryContext, task_class: TaskClass) -> str:
+def _settings_path(context: EntryContext, task_class: TaskClass) -> str:
     identity = context.identity
     return f"{identity.region}/{identity.zone}/{task_class.service}/{task_class.name}"
--- a/src/onyxspoke/core/settings_tree.py
+++ b/src/onyxspoke/core/settings_tree.py
@@ -1,4 +1,4 @@
-"""The tree of settings, folded from the log; the fold decides every race."""
+"""The settings tree, rebuilt from the log; the order of the log decides between conflicts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 SettingScalar = bool | int | float | str
 _MAXIMUM_REMEMBERED_VERDICTS = 5_000
-_MAXIMUM_HISTORY = 5_000
+_MAXIMUM_HISTORY_ITEMS = 5_000
 
 
 class SettingKind(Enum):
@@ -26,7 +26,7 @@
 
 
 class SettingDefinition(msgspec.Struct, frozen=True, kw_only=True):
-    """Schema of one key: type, bounds, unit and meaning."""
+    """Schema of one settings key: type, bounds, unit and description."""
 
     key: str
     kind: SettingKind
@@ -71,7 +71,7 @@
 
 
 class SettingValue(msgspec.Struct, frozen=True):
-    """A value in the tree with its origin."""
+    """A value in the tree, with the revision and the operator that set it."""
 
     value: SettingScalar | None
     revision: Offset
@@ -79,7 +79,11 @@
 
 
 class SettingsVerdict(msgspec.Struct, frozen=True):
-    """The fold's decision on one change; ``conflict`` names the losing item."""
+    """The decision on one settings change.
+
+    ``conflict`` is the item for which the change was rejected, and ``winner`` is the current
+    value of that item's key.
+    """
 
     accepted: bool
     revision: Offset
@@ -88,7 +92,7 @@
 
 
 class ResolvedSetting(msgspec.Struct, frozen=True):
-    """The value in force at a path and the level that it comes from."""
+    """The value in force at a path, and the level of the tree at which the value is set."""
 
     value: SettingScalar
     level: str
@@ -108,8 +112,8 @@
     after: SettingScalar | None
 
 
-def ancestors(path: str) -> list[str]:
-    """Return the levels from the path itself up to the root, which is ``""``."""
+def path_levels(path: str) -> list[str]:
+    """Return the path and all of its ancestors up to the root, which is ``""``."""
     levels = [path] if path else []
     while "/" in path:
         path = path.rsplit("/", 1)[0]
@@ -118,16 +122,16 @@
 
 
 def find_fault(change: SettingChange) -> str:
-    """Return what is wrong with a change by the schema, or an empty string."""
+    """Return how a change violates the schema, or an empty string if the change is valid."""
     definition = SETTING_DEFINITIONS.get(change.key)
     if definition is None:
         return f"{change.key}: no such setting"
     if change.value is None:
         return ""
-    return _find_value_fault(definition, change.value)
+    return _find_value_violation(definition, change.value)
 
 
-def _find_value_fault(definition: SettingDefinition, value: SettingScalar) -> str:
+def _find_value_violation(definition: SettingDefinition, value: SettingScalar) -> str:
     if definition.kind is SettingKind.BOOLEAN:
         return "" if isinstance(value, bool) else f"{definition.key}: expected true or false"
     if definition.kind is SettingKind.CHOICE:
@@ -137,9 +141,9 @@
         return f"{definition.key}: expected a number"
     if definition.kind is SettingKind.INTEGER and not isinstance(value, int):
         return f"{definition.key}: expected a whole number"
-    below = definition.minimum is not None and value < definition.minimum
-    above = definition.maximum is not None and value > definition.maximum
-    if below or above:
+    is_below_minimum = definition.minimum is not None and value < definition.minimum
+    is_above_maximum = definition.maximum is not None and value > definition.maximum
+    if is_below_minimum or is_above_maximum:
         bounds = f"{definition.minimum} to {definition.maximum} {definition.unit}".strip()
         return f"{definition.key}: expected {bounds}"
     return ""
@@ -154,30 +158,30 @@
 
 
 class SettingsTree:
-    """Fold of the settings stream."""
+    """State that results from applying the records of the settings stream in order."""
 
     def __init__(self) -> None:
         self._values: dict[tuple[str, str], SettingValue] = {}
         self._verdicts: OrderedDict[str, SettingsVerdict] = OrderedDict()
-        #: Accepted changes since this reader's start or the snapshot that it loaded.
-        self.history: deque[HistoryItem] = deque(maxlen=_MAXIMUM_HISTORY)
+        #: Changes accepted after this reader started or after the snapshot that it loaded.
+        self.history: deque[HistoryItem] = deque(maxlen=_MAXIMUM_HISTORY_ITEMS)
         self.revision: Offset = 0
 
     def apply(self, offset: Offset, apply: SettingsApply) -> None:
-        """Fold one change; a repeat of a folded change keeps its first verdict."""
+        """Decide on one change and apply it if accepted; a repeated change keeps its verdict."""
         if apply.change_id in self._verdicts:
             return
         verdict = self._decide(offset, apply)
         if verdict.accepted:
             for change in apply.changes:
-                self._set(offset, apply, change)
+                self._set_value(offset, apply, change)
         self.revision = offset
         self._verdicts[apply.change_id] = verdict
         if len(self._verdicts) > _MAXIMUM_REMEMBERED_VERDICTS:
             self._verdicts.popitem(last=False)
 
     def to_snapshot(self) -> SettingsSnapshot:
-        """Return the fold as records, unset markers included."""
+        """Return the state as a snapshot, including markers of unset values."""
         values = [
             _to_state(path, key, value) for (path, key), value in sorted(self._values.items())
         ]
@@ -194,7 +198,7 @@
         return SettingsSnapshot(self.revision, values, verdicts)
 
     def load_snapshot(self, snapshot: SettingsSnapshot) -> None:
-        """Replace the fold."""
+        """Replace the state by a snapshot."""
         self.revision = snapshot.revision
         self._values = {(state.path, state.key): _to_value(state) for state in snapshot.values}
         for state in snapshot.verdicts:
@@ -203,7 +207,7 @@
                 state.accepted, state.revision, state.conflict, winner
             )
 
-    def _set(self, offset: Offset, apply: SettingsApply, change: SettingChange) -> None:
+    def _set_value(self, offset: Offset, apply: SettingsApply, change: SettingChange) -> None:
         before = self._values.get((change.path, change.key))
         value = SettingValue(change.value, offset, apply.operator)
         self._values[(change.path, change.key)] = value
@@ -220,30 +224,30 @@
         )
 
     def verdict(self, change_id: str) -> SettingsVerdict | None:
-        """Return the decision on a change, if it was folded."""
+        """Return the verdict on a change, or ``None`` if the change is not decided."""
         return self._verdicts.get(change_id)
 
-    def at(self, path: str, key: str) -> SettingValue | None:
-        """Return what was set at exactly this level, an unset marker included."""
+    def value_at(self, path: str, key: str) -> SettingValue | None:
+        """Return the value or unset marker of a key at exactly this level."""
         return self._values.get((path, key))
 
     def revision_of(self, path: str, key: str) -> Offset:
-        """Return the revision at which this key was last changed at this level; 0 if never."""
+        """Return the revision of the last change of a key at this level; 0 if there is none."""
         value = self._values.get((path, key))
         return 0 if value is None else value.revision
 
     def resolve(self, path: str, key: str) -> ResolvedSetting | None:
-        """Return the value in force at a path, inherited from the nearest level that has one."""
-        for level in ancestors(path):
+        """Return the value in force at a path: the value at the nearest level that sets the key."""
+        for level in path_levels(path):
             value = self._values.get((level, key))
             if value is not None and value.value is not None:
                 return ResolvedSetting(value.value, level, value.revision, value.operator)
         return None
 
     def preview(self, path: str, key: str, changes: list[SettingChange]) -> SettingScalar | None:
-        """Return the value that would be in force at a path after some changes."""
+        """Return the value that would be in force at a path after the given changes."""
         changed = {change.path: change.value for change in changes if change.key == key}
-        for level in ancestors(path):
+        for level in path_levels(path):
             if level in changed:
                 value = changed[level]
             else:
@@ -272,7 +276,7 @@
 
 
 def render_settings_page() -> str:
-    """Return the page that documents every key, from the schema."""
+    """Return the Markdown page that documents every key of the schema."""
     rows = []
     for definition in SETTING_DEFINITIONS.values():
         allowed = ", ".join(f"`{choice}`" for choice in definition.choices)
@@ -282,10 +286,10 @@
             f"| `{definition.key}` | {definition.kind.value} | {allowed or '-'} "
             f"| {definition.unit or '-'} | {definition.description} |"
         )
-    head = (
+    page_header = (
         "# Settings\n\nKeys of the settings tree, written from the schema by "
         "`scripts/make_codes_page.py`. A key\nmay be set at any level: the root, a region, a "
         "zone, a service in a zone, a class of work.\n\n"
         "| key | type | allowed | unit | meaning |\n|---|---|---|---|---|\n"
     )
-    return head + "\n".join(rows) + "\n"
+    return page_header + "\n".join(rows) + "\n"
--- a/src/onyxspoke/core/settings_watch.py
+++ b/src/onyxspoke/core/settings_watch.py
@@ -1,4 +1,4 @@
-"""How long an accepted change takes until it is in force at every entry."""
+"""Tracks settings changes until the log accepts them and all live entries apply them."""
 
 from __future__ import annotations
 
@@ -13,92 +13,92 @@
 
 @dataclass(slots=True)
 class AwaitedRevision:
-    """An own accepted change, and the entries that have not yet said that they folded it."""
+    """An accepted change of this entry, and the peers that have not yet applied the change."""
 
     revision: Offset
     accepted_at: float
-    missing: set[EntryId]
+    missing_peers: set[EntryId]
 
 
 @dataclass(frozen=True, slots=True)
 class PendingChange:
-    """An own change that was not read back yet."""
+    """A change of this entry that has not been read back from the log."""
 
     apply: SettingsApply
-    give_up_at: float
+    expires_at: float
 
 
 class PendingChanges:
-    """Own changes on their way to the log; given up when the log does not take them."""
+    """Changes of this entry that are not decided yet; each change expires after a timeout."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
         self._pending: dict[str, PendingChange] = {}
 
     def submit(self, apply: SettingsApply, now: float) -> None:
-        """Send a change to the log."""
-        give_up_at = now + self._context.options.settings_patience_seconds
-        self._pending[apply.change_id] = PendingChange(apply, give_up_at)
+        """Append a change to the log, and wait for the verdict until the timeout."""
+        expires_at = now + self._context.options.settings_change_timeout_seconds
+        self._pending[apply.change_id] = PendingChange(apply, expires_at)
         self._context.appends[LogStream.SETTINGS].add(apply)
 
     def handle_read(self, change_id: str) -> None:
-        """Note that a change was read back and decided."""
+        """Handle a change that was read back from the log and is therefore decided."""
         self._pending.pop(change_id, None)
 
-    def keep(self, now: float) -> None:
-        """Give up changes whose time has passed."""
+    def tick(self, now: float) -> None:
+        """Report the changes whose timeout has passed as refused."""
         appends = self._context.appends[LogStream.SETTINGS]
         for change_id, pending in list(self._pending.items()):
-            if now < pending.give_up_at:
+            if now < pending.expires_at:
                 continue
             del self._pending[change_id]
-            # One that was sent may still be accepted: only the log can tell.
+            # A change that was already sent may still be accepted, so its outcome is unknown.
             withdrawn = appends.withdraw(pending.apply)
             code = ResultCode.LOG_UNAVAILABLE if withdrawn else ResultCode.LOG_ANSWER_LOST
             self._context.emit(SettingsRefused(change_id, code))
 
 
 class SettingsWatch:
-    """Waits for the peers' word on accepted changes.
+    """Tracks which live peers have applied the changes that this entry submitted.
 
-    Peers tell their revision with their advertisements; all times are of this entry's own
-    clock, so clocks that differ between machines do not show as lag.
+    Peers report their settings revision in their advertisements.  All times are read from
+    this entry's own clock, so clock skew between machines does not count as lag.
     """
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
-        self._awaited: list[AwaitedRevision] = []
+        self._awaited_revisions: list[AwaitedRevision] = []
         self.peer_revisions: dict[EntryId, Offset] = {}
 
     def handle_accepted(self, revision: Offset, now: float) -> None:
-        """Begin to wait for a change that was accepted now."""
-        missing = {
+        """Start to track a change that was accepted now."""
+        missing_peers = {
             peer_id
             for peer_id in self._live_peers(now)
             if self.peer_revisions.get(peer_id, 0) < revision
         }
-        self._awaited.append(AwaitedRevision(revision, now, missing))
-        self._report(now)
+        self._awaited_revisions.append(AwaitedRevision(revision, now, missing_peers))
+        self._report_propagated(now)
 
     def handle_peer_revision(self, peer_id: EntryId, revision: Offset, now: float) -> None:
-        """Take a peer's word for the revision that it has folded."""
+        """Handle the settings revision that a peer reports as applied."""
         self.peer_revisions[peer_id] = max(revision, self.peer_revisions.get(peer_id, 0))
-        for awaited in self._awaited:
+        for awaited in self._awaited_revisions:
             if awaited.revision <= revision:
-                awaited.missing.discard(peer_id)
-        self._report(now)
+                awaited.missing_peers.discard(peer_id)
+        self._report_propagated(now)
 
-    def keep(self, now: float) -> None:
-        """Stop to wait for entries that are gone."""
-        if not self._awaited:
+    def tick(self, now: float) -> None:
+        """Stop tracking the peers that are no longer live."""
+        if not self._awaited_revisions:
             return
         live = set(self._live_peers(now))
-        for awaited in self._awaited:
-            awaited.missing &= live
-        self._report(now)
+        for awaited in self._awaited_revisions:
+            awaited.missing_peers &= live
+        self._report_propagated(now)
 
     def laggards(self, now: float) -> list[EntryId]:
-        """Return the live peers that have not folded this entry's revision."""
+        """Return the live peers that have not applied this entry's settings revision."""
         revision = self._context.settings.revision
         return [
             peer_id
@@ -112,9 +112,11 @@
         own_id = self._context.identity.entry_id
         return sorted(entry_id for entry_id in live if entry_id != own_id)
 
-    def _report(self, now: float) -> None:
-        for awaited in self._awaited:
-            if not awaited.missing:
+    def _report_propagated(self, now: float) -> None:
+        for awaited in self._awaited_revisions:
+            if not awaited.missing_peers:
                 seconds = now - awaited.accepted_at
                 self._context.emit(SettingsInForce(awaited.revision, seconds))
-        self._awaited = [awaited for awaited in self._awaited if awaited.missing]
+        self._awaited_revisions = [
+            awaited for awaited in self._awaited_revisions if awaited.missing_peers
+        ]
--- a/src/onyxspoke/core/snapshot.py
+++ b/src/onyxspoke/core/snapshot.py
@@ -1,7 +1,8 @@
-"""Snapshots of folded state, carried in the log before retention drops what they hold.
+"""Snapshots of a stream's state, appended to the log before it drops the older records.
 
-A snapshot says up to which offset it holds.  A reader that starts after older records were
-dropped keeps what it reads until it meets a snapshot, loads it, and folds the rest.
+Each snapshot names the offset up to which its state is complete.  A reader that starts
+after the log has dropped records buffers the batches that it reads until it has read a
+whole snapshot, loads that snapshot, and then applies the later batches.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from onyxspoke.core.log_records import LogBatch, SettingChange, SnapshotPart
 from onyxspoke.core.schema import Answer, EntryId, Epoch, JobSubmission, Offset, WorkerId
 
-PART_BYTES = 256 * 1024
-ReadBatch = tuple[Offset, LogBatch]
+MAXIMUM_PART_BYTES = 256 * 1024
+BatchAtOffset = tuple[Offset, LogBatch]
 
 
 class MemberState(msgspec.Struct, frozen=True, array_like=True):
-    """One entry in a snapshot."""
+    """One member of the cell in a snapshot."""
 
     entry_id: EntryId
     zone: str
@@ -54,7 +55,7 @@
 
 
 class CellSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The fold of the cell stream."""
+    """Snapshot of the state of the cell stream."""
 
     members: list[MemberState]
     holdings: list[HoldingState]
@@ -74,7 +75,7 @@
 
 
 class VerdictState(msgspec.Struct, frozen=True, array_like=True):
-    """The decision on one settings change in a snapshot."""
+    """The verdict on one settings change in a snapshot."""
 
     change_id: str
     accepted: bool
@@ -84,7 +85,7 @@
 
 
 class SettingsSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The fold of the settings stream."""
+    """Snapshot of the state of the settings stream."""
 
     revision: Offset
     values: list[SettingState]
@@ -92,8 +93,11 @@
 
 
 def split_snapshot(snapshot_id: str, covers: Offset, data: bytes) -> list[SnapshotPart]:
-    """Return the records that carry a snapshot."""
-    pieces = [data[start : start + PART_BYTES] for start in range(0, len(data), PART_BYTES)]
+    """Split an encoded snapshot into records of at most ``MAXIMUM_PART_BYTES`` bytes of data."""
+    pieces = [
+        data[start : start + MAXIMUM_PART_BYTES]
+        for start in range(0, len(data), MAXIMUM_PART_BYTES)
+    ]
     return [
         SnapshotPart(snapshot_id, covers, index, len(pieces), piece)
         for index, piece in enumerate(pieces)
@@ -101,18 +105,18 @@
 
 
 class SnapshotAssembler:
-    """Puts the parts of snapshots together; parts of one come in order."""
+    """Joins the parts of snapshots; the parts of one snapshot arrive in order."""
 
     def __init__(self) -> None:
         self._parts: dict[str, list[SnapshotPart]] = {}
 
     def add(self, part: SnapshotPart) -> bytes | None:
-        """Take one part; return the whole data with the last one."""
+        """Add one part; return the whole data if the part completes its snapshot."""
         if part.index == 0:
             self._parts[part.snapshot_id] = []
         parts = self._parts.get(part.snapshot_id)
         if parts is None or len(parts) != part.index:
-            return None  # Its beginning was dropped, or it is a repeat.
+            return None  # The log dropped the first part, or this part is a repeat.
         parts.append(part)
         if len(parts) < part.count:
             return None
@@ -121,40 +125,40 @@
 
 
 class LoadedSnapshot(msgspec.Struct, frozen=True):
-    """A whole snapshot met in the log."""
+    """A complete snapshot that was read from the log."""
 
     covers: Offset
     data: bytes
 
 
 class StreamBootstrap:
-    """Holds back what a late reader reads until a snapshot makes sense of it."""
+    """Buffers the batches of a stream until a snapshot replaces the records that were dropped."""
 
     def __init__(self) -> None:
         self.is_complete = False
-        self._first_offset: Offset | None = None
-        self._kept: list[ReadBatch] = []
+        self._first_retained_offset: Offset | None = None
+        self._buffered_batches: list[BatchAtOffset] = []
         self._assembler = SnapshotAssembler()
 
-    def begin(self, first_kept: Offset) -> None:
-        """Learn where the log begins; a whole log needs no snapshot."""
-        if self._first_offset is None:
-            self._first_offset = first_kept
-            self.is_complete = first_kept <= 1
+    def handle_stream_start(self, first_retained_offset: Offset) -> None:
+        """Handle the first offset of the stream; a stream that is complete needs no snapshot."""
+        if self._first_retained_offset is None:
+            self._first_retained_offset = first_retained_offset
+            self.is_complete = first_retained_offset <= 1
 
     def read(self, offset: Offset, batch: LogBatch) -> LoadedSnapshot | None:
-        """Keep a batch; return a snapshot that covers all that was dropped, once complete."""
-        self._kept.append((offset, batch))
+        """Buffer a batch; return a completed snapshot that covers all dropped records, if any."""
+        self._buffered_batches.append((offset, batch))
         for record in batch.records:
             if not isinstance(record, SnapshotPart):
                 continue
             data = self._assembler.add(record)
-            if data is not None and record.covers + 1 >= (self._first_offset or 1):
+            if data is not None and record.covers + 1 >= (self._first_retained_offset or 1):
                 self.is_complete = True
                 return LoadedSnapshot(record.covers, data)
         return None
 
-    def take_kept(self, after: Offset) -> list[ReadBatch]:
-        """Return, once, the kept batches that come after an offset."""
-        kept, self._kept = self._kept, []
-        return [item for item in kept if item[0] > after]
+    def take_buffered(self, after: Offset) -> list[BatchAtOffset]:
+        """Return the buffered batches after an offset, and empty the buffer."""
+        buffered_batches, self._buffered_batches = self._buffered_batches, []
+        return [item for item in buffered_batches if item[0] > after]
--- a/src/onyxspoke/core/snapshot_writer.py
+++ b/src/onyxspoke/core/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writes a snapshot of a stream's fold when the last one has grown old."""
+"""Writes a snapshot of a stream's state when the last snapshot is too old."""
 
 from __future__ import annotations
 
@@ -12,48 +12,48 @@
 
 
 class SnapshotWriter:
-    """Decides when this entry writes a snapshot of one stream.
+    """Writes snapshots of one stream when this entry is the one chosen to write them.
 
     Parameters
     ----------
     context : EntryContext
         The entry's state.
     stream : LogStream
-        The stream whose fold is written.
-    take : callable
-        Returns the offset that the fold has reached and the fold's bytes.
+        The stream whose state is written.
+    capture : callable
+        Returns the offset up to which the state is complete, and the encoded state.
     """
 
     def __init__(
         self,
         context: EntryContext,
         stream: LogStream,
-        take: Callable[[], tuple[Offset, bytes]],
+        capture: Callable[[], tuple[Offset, bytes]],
     ) -> None:
         self._context = context
         self._stream = stream
-        self._take = take
-        self._seen_at: float | None = None
-        self._counter = 0
+        self._capture = capture
+        self._last_snapshot_at: float | None = None
+        self._snapshot_count = 0
 
     def handle_part_read(self, now: float) -> None:
-        """Note that someone's snapshot is in the log."""
-        self._seen_at = now
-
-    def keep(self, now: float) -> None:
-        """Write a snapshot if the last one is old and the choice falls on this entry."""
-        if self._seen_at is None:
-            self._seen_at = now
-        if now - self._seen_at < self._context.options.snapshot_interval_seconds:
+        """Handle a part of a snapshot, by any entry, that was read from the log."""
+        self._last_snapshot_at = now
+
+    def tick(self, now: float) -> None:
+        """Write a snapshot if the last one is too old and hashing selects this entry."""
+        if self._last_snapshot_at is None:
+            self._last_snapshot_at = now
+        if now - self._last_snapshot_at < self._context.options.snapshot_interval_seconds:
             return
         context = self._context
-        live = context.cell.all_live_members(now, context.options.lease.lapse_seconds)
+        live_ids = context.cell.all_live_members(now, context.options.lease.lapse_seconds)
         entry_id = context.identity.entry_id
-        if preferred(f"snapshot-{self._stream.value}", live) != entry_id:
+        if preferred(f"snapshot-{self._stream.value}", live_ids) != entry_id:
             return
-        self._seen_at = now
-        self._counter += 1
-        covers, data = self._take()
+        self._last_snapshot_at = now
+        self._snapshot_count += 1
+        covers, data = self._capture()
         appends = context.appends[self._stream]
-        for part in split_snapshot(f"{entry_id}/{self._counter}", covers, data):
+        for part in split_snapshot(f"{entry_id}/{self._snapshot_count}", covers, data):
             appends.add(part)
--- a/src/onyxspoke/core/worker_table.py
+++ b/src/onyxspoke/core/worker_table.py
@@ -1,4 +1,4 @@
-"""All workers that an entry owns, and the index of their free capacity."""
+"""The workers that an entry owns, and the index of their free capacity."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class WorkerTable:
-    """All workers that this entry owns."""
+    """The workers that this entry owns."""
 
     worker_type = OwnedWorker
 
@@ -26,33 +26,33 @@
         self._index = CapacityIndex()
 
     def add(self, machine: MachineRecord, epoch: Epoch) -> OwnedWorker:
-        """Start to own a worker under a new epoch."""
+        """Add a worker that this entry owns under a new epoch."""
         worker = self.worker_type(machine, epoch)
         self.workers[machine.worker_id] = worker
         return worker
 
     def remove(self, worker_id: WorkerId) -> None:
-        """Stop to own a worker."""
+        """Remove a worker that this entry no longer owns."""
         self.workers.pop(worker_id, None)
         self._index.remove(worker_id)
 
     def refresh(self, worker: OwnedWorker) -> None:
-        """Note that a worker's state, capacity or machine has changed."""
+        """Update the index after a change of a worker's state, capacity or machine."""
         self._index.update(worker)
 
     def reserve(self, worker: OwnedWorker, task: RunningTask) -> None:
-        """Reserve capacity for an attempt."""
+        """Reserve the resources of a task on a worker."""
         worker.reserve(task)
         self._index.update(worker)
 
     def release(self, worker_id: WorkerId, attempt_id: AttemptId) -> None:
-        """Free what an attempt reserved, if the worker and the attempt are known."""
+        """Release the resources of an attempt, if the worker and the attempt are known."""
         worker = self.workers.get(worker_id)
         if worker is not None and worker.release(attempt_id):
             self._index.update(worker)
 
     def choose(self, task_class: TaskClass) -> OwnedWorker | None:
-        """Return the worker that suits a task best, or ``None`` if none has room."""
+        """Return the best worker for a task, or ``None`` if no worker has enough free capacity."""
         return self._index.choose(task_class)
 
     def usable(self) -> list[OwnedWorker]:
