--- a/features/differential.feature
+++ b/features/differential.feature
@@ -1,27 +1,28 @@
-Feature: The system gives what a naive version gives
+Feature: The system gives the same results as a naive version
 
-  The naive version is one process with one copy of everything and no faults; it scans
-  and sorts where the system keeps indexes, and applies changes one after the other.
+  The naive version is a single process without replicas and without faults.  The naive
+  version scans and sorts lists where the system uses indexes, and applies changes one
+  after the other.
 
-  Scenario: A whole cell answers as the naive version does
-    When the same work goes to the naive version and to a cell without faults
+  Scenario: A whole cell gives the same answers as the naive version
+    When the same requests go to the naive version and to a cell without faults
     Then every answer is the same
 
-  Scenario: Under faults a cell gives the naive answer, or says that it gave none
-    When the same work goes to the naive version and to a cell under drawn faults
-    Then every answer is the naive one, "not run" or "unknown"
+  Scenario: Under faults, a cell gives the same answer or reports "not run" or "unknown"
+    When the same requests go to the naive version and to a cell under random faults
+    Then every answer equals the naive version's answer or is "not run" or "unknown"
 
-  Scenario: The settings tree decides every race as the naive tree does
-    Then drawn changes of racing operators leave both trees the same
+  Scenario: The settings tree decides between conflicting changes as the naive tree does
+    Then random changes by concurrent operators leave both trees equal
 
-  Scenario: Repeated appends change nothing in the fold
-    Then a log in which batches are drawn again folds as the log without them
+  Scenario: Repeated appends do not change the state of the cell
+    Then a log with repeated batches gives the same state as the log without the repeats
 
-  Scenario: Claims give each worker one holder, as the naive ledger does
-    Then drawn claims, renewals and releases leave both ledgers the same
+  Scenario: Claims give each worker the same holder as in the naive version
+    Then random claims, renewals and releases leave the same holders in both
 
-  Scenario: Placement finds room exactly where a full scan does
-    Then drawn workers and tasks are feasible for both, and no reservation goes below zero
+  Scenario: Placement finds a worker for a task exactly when a full scan finds one
+    Then both find a worker for the same random tasks, and no free capacity is negative
 
-  Scenario: The waiting queue keeps the order of a sorted list
-    Then drawn arrivals, dispatches and withdrawals leave both queues in the same order
+  Scenario: The waiting queue has the same order as a sorted list
+    Then random arrivals, dispatches and withdrawals leave both queues in the same order
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,9 +1,9 @@
-Feature: The settings tree over the operators' API
+Feature: Operators change the settings tree over HTTP
 
   Background:
     Given a running cell of the deployment "klimaplan"
 
-  Scenario: A value is inherited until a lower level overrides it
+  Scenario: A level inherits a value until a lower level overrides the value
     When an operator sets "task.patience_seconds" at "zahorie" to 30
     And an operator sets "task.patience_seconds" at "zahorie/hala-juh" to 9
     Then "task.patience_seconds" at "zahorie/hala-sever/klimaplan" is 30 from level "zahorie"
@@ -11,7 +11,7 @@
     When an operator unsets "task.patience_seconds" at "zahorie/hala-juh"
     Then "task.patience_seconds" at "zahorie/hala-juh/klimaplan" is 30 from level "zahorie"
 
-  Scenario: Of two operators with the same revision one is told of the conflict
+  Scenario: A change on an outdated revision is refused as a conflict
     When an operator sets "task.priority" at "zahorie" to 1
     And an operator sets "task.priority" at "zahorie" to 2 on revision 0
     Then the answer has status 409 and code 500
@@ -30,32 +30,32 @@
       | service.admitted      | 1        |
       | no.such.setting       | 1        |
 
-  Scenario: A change of several keys is taken whole or not at all
-    When an operator sets two keys at "zahorie", one on a wrong revision
+  Scenario: A change of several keys is accepted as a whole or refused as a whole
+    When an operator sets two keys at "zahorie", one with a wrong revision
     Then the answer has status 409 and code 500
-    And nothing is set
+    And the settings tree has no values
 
-  Scenario: A dry run shows the work that a change reaches, and changes nothing
-    When an operator tries "task.priority" at "zahorie/hala-juh" as 2 in a dry run
-    Then the reach names 3 classes of work in the zone "hala-juh" only
-    And nothing is set
+  Scenario: A dry run lists the task classes that a change affects, and sets no value
+    When an operator sends a dry run that sets "task.priority" at "zahorie/hala-juh" to 2
+    Then the answer lists 3 task classes, all in the zone "hala-juh"
+    And the settings tree has no values
 
-  Scenario: A change while the log is away is given up with a code
-    When the log goes away
+  Scenario: A change expires with a result code while the log is unavailable
+    When the log becomes unavailable
     And an operator sets "task.priority" at "zahorie" to 1
     Then the answer has status 502 and code 403
 
-  Scenario: The history and the spread of a change can be seen
+  Scenario: Operators see the history of a key and which entries have applied its changes
     When an operator sets "task.priority" at "zahorie" to 1
     And an operator sets "task.priority" at "zahorie" to 2
     And 3 seconds pass
     Then the history of "task.priority" at "zahorie" goes from null to 1 to 2
-    And no entry lags and 2 changes are in force everywhere
+    And no entry lags behind and 2 changes are in force at every entry
 
-  Scenario: A setting in force changes how work is taken
+  Scenario: A setting in force decides whether work of a service is admitted
     When an operator sets "service.admitted" at "zahorie/hala-sever/klimaplan" to false
     And a caller posts an unkeyed window command
     Then the answer has status 429 and code 308
 
-  Scenario: The page of settings matches the schema
-    Then docs/SETTINGS.md is what the schema gives
+  Scenario: The documentation of the settings matches the schema
+    Then docs/SETTINGS.md equals the page rendered from the schema
--- a/features/steps/differential_steps.py
+++ b/features/steps/differential_steps.py
@@ -1,4 +1,4 @@
-"""Steps that compare the system with its naive versions."""
+"""Steps that compare the system with naive versions of its parts."""
 
 import random
 
@@ -43,7 +43,7 @@
 
 
 class ObservedCallers(Callers):
-    """Gives the naive version every payload too, and compares answers in the end."""
+    """Submits every payload to the naive version as well."""
 
     def __init__(self, cell, load, source):
         super().__init__(cell, load, source)
@@ -68,12 +68,12 @@
     return callers
 
 
-@when("the same work goes to the naive version and to a cell without faults")
+@when("the same requests go to the naive version and to a cell without faults")
 def step_without_faults(context):
     context.runs = [run_both("klimaplan", seed, faulty=False) for seed in SEEDS]
 
 
-@when("the same work goes to the naive version and to a cell under drawn faults")
+@when("the same requests go to the naive version and to a cell under random faults")
 def step_with_faults(context):
     names = ("klimaplan", "motor-estudio")
     context.runs = [run_both(name, seed, faulty=True) for seed in SEEDS for name in names]
@@ -88,7 +88,7 @@
             assert record.digest == callers.naive.answers[record.nonce], record
 
 
-@then('every answer is the naive one, "not run" or "unknown"')
+@then('every answer equals the naive version\'s answer or is "not run" or "unknown"')
 def step_allowed_answers(context):
     for callers in context.runs:
         for record in callers.records:
@@ -107,7 +107,7 @@
 )
 
 
-@then("drawn changes of racing operators leave both trees the same")
+@then("random changes by concurrent operators leave both trees equal")
 def step_settings(context):
     @given(st.lists(st.lists(changes, min_size=1, max_size=3), max_size=12))
     def check(applies):
@@ -140,21 +140,21 @@
         yield LogBatch(writer, "z", "127.0.0.1", 1, sequences[writer], False, records)
 
 
-def fold(log):
+def replay(log):
     cell = CellState(CellLimits())
     for offset, batch in enumerate(log, start=1):
         cell.apply(offset, batch, float(offset))
     return cell
 
 
-@then("drawn claims, renewals and releases leave both ledgers the same")
+@then("random claims, renewals and releases leave the same holders in both")
 def step_claims(context):
     @given(batches)
     def check(drawn):
         naive = NaiveLedger()
         for offset, (writer, claims, releases) in enumerate(drawn, start=1):
             naive.write(offset, writer, claims, releases)
-        cell = fold(make_batches(drawn))
+        cell = replay(make_batches(drawn))
         for worker in ("w1", "w2", "w3"):
             holding = cell.holding_of(worker)
             assert holding.holder == (naive.holders.get(worker) or "")
@@ -163,7 +163,7 @@
     check()
 
 
-@then("a log in which batches are drawn again folds as the log without them")
+@then("a log with repeated batches gives the same state as the log without the repeats")
 def step_repeats(context):
     @given(batches, st.lists(st.integers(0, 11), max_size=6))
     def check(drawn, repeats):
@@ -206,7 +206,7 @@
     return worker
 
 
-@then("drawn workers and tasks are feasible for both, and no reservation goes below zero")
+@then("both find a worker for the same random tasks, and no free capacity is negative")
 def step_placement(context):
     machines = st.lists(st.tuples(st.sampled_from(["g1", "g2"]), amounts), max_size=5)
 
@@ -237,7 +237,7 @@
 
 
 def disturb(table, running, fate):
-    """End a task, end it again, drain a worker, or let one go."""
+    """Release a task twice, toggle the drain of a worker, or remove a worker."""
     if running and fate % 3 == 0:
         worker_id, attempt_id = running[fate % len(running)]
         table.release(worker_id, attempt_id)
@@ -256,7 +256,7 @@
 )
 
 
-@then("drawn arrivals, dispatches and withdrawals leave both queues in the same order")
+@then("random arrivals, dispatches and withdrawals leave both queues in the same order")
 def step_queue(context):
     @given(arrivals, st.integers(0, 15))
     def check(drawn, dispatched):
--- a/features/steps/promise_steps.py
+++ b/features/steps/promise_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run whole cells under fault schedules."""
+"""Steps that run simulated cells under schedules of faults."""
 
 import random
 from functools import partial
@@ -38,7 +38,7 @@
 
 
 class WithoutKeyMemory(EntryScheduler):
-    """Runs every keyed request that comes, whoever holds the key."""
+    """Runs every keyed request, even if another request holds the key."""
 
     def __init__(self, identity, options):
         super().__init__(identity, options)
@@ -46,14 +46,14 @@
 
 
 class WithoutLeaseMargin(EntryScheduler):
-    """Takes over from a holder whose lease still runs."""
+    """Takes over workers from a holder whose lease is still valid."""
 
     def __init__(self, identity, options):
-        hasty = msgspec.structs.replace(options.lease, margin_seconds=-4.7)
-        super().__init__(identity, msgspec.structs.replace(options, lease=hasty))
+        lease_options = msgspec.structs.replace(options.lease, margin_seconds=-4.7)
+        super().__init__(identity, msgspec.structs.replace(options, lease=lease_options))
 
 
-CRIPPLED = {
+SCHEDULERS_WITHOUT_MECHANISM = {
     "fencing": WithoutFencing,
     "key memory": WithoutKeyMemory,
     "lease margin": WithoutLeaseMargin,
@@ -70,7 +70,7 @@
     return faults
 
 
-#: Fencing is the last of three nets: only a command that left its process late meets it.
+#: Only a command that a paused entry sends late is stopped by fencing alone.
 PROVOKING_FAULTS = {
     "fencing": parse_faults(
         "pause_entry_sending sever-1 at 12 for 14; pause_entry_sending stred-2 at 12 for 14"
@@ -79,7 +79,7 @@
 
 
 class Run:
-    """A cell under ordinary load, watched, with faults that the scenario adds."""
+    """A simulated cell under ordinary load, with a checker and the faults of the scenario."""
 
     def __init__(self, deployment, seed, load_seconds=26.0, rate=20.0):
         self.settings = load_settings(deployment_path(deployment))
@@ -117,18 +117,18 @@
     context.again = run_schedule(load_settings(deployment_path(name)), seed)
 
 
-@then("both runs are the same, event for event")
+@then("both runs have the same events")
 def step_same(context):
     assert context.result == context.again
 
 
 @when('seeds are explored for the deployment "{name}" without "{mechanism}"')
-def step_explore_crippled(context, name, mechanism):
+def step_explore_without_mechanism(context, name, mechanism):
     settings = load_settings(deployment_path(name))
     context.violations = []
     faults = PROVOKING_FAULTS.get(mechanism)
     for seed in EXPLORED_SEEDS:
-        result = run_schedule(settings, seed, faults, CRIPPLED[mechanism])
+        result = run_schedule(settings, seed, faults, SCHEDULERS_WITHOUT_MECHANISM[mechanism])
         if result.violations:
             context.violations = result.violations
             return
@@ -136,7 +136,7 @@
 
 @then("a promise is broken")
 def step_broken(context):
-    assert context.violations, "the exploration found nothing: it cannot fail"
+    assert context.violations, "the exploration found no broken promise"
 
 
 @then("no promise is broken")
@@ -167,7 +167,7 @@
 
 
 @when('every entry of "{name}" is stopped and replaced in turn under load')
-def step_roll(context, name):
+def step_replace_all_entries(context, name):
     run = Run(name, seed=21, load_seconds=60.0)
     faults = [
         Fault(FaultKind.STOP_ENTRY, entry.name, 6.0 + 8.0 * index, 4.0)
@@ -178,7 +178,7 @@
     context.replaced = len({entry.node.name for entry in run.cell.entries.values()})
 
 
-@then('no caller was told "unknown"')
+@then('no caller got the outcome "unknown"')
 def step_no_unknown(context):
     assert context.report.unknown == 0, context.report.summary()
 
@@ -194,11 +194,13 @@
     context.run = run
 
 
-@then("it is given nothing from {seconds:d} seconds after the list says so")
+@then(
+    "the worker gets no new task from {seconds:d} seconds after the machine list shows the change"
+)
 def step_nothing_new(context, seconds):
     lag = context.run.settings.platform.machine_list_lag_seconds
     cell, worker_id = context.run.cell, context.worker_id
-    assert find_late_starts(cell, worker_id, 0.0) > 0, "the worker was never busy"
+    assert find_late_starts(cell, worker_id, 0.0) > 0, "the worker never started a task"
     listed_for_readers = context.listed_at + lag
     assert find_late_starts(cell, worker_id, listed_for_readers + seconds) == 0
 
@@ -213,16 +215,16 @@
     context.run, context.zone = run, zone
 
 
-@then("its workers are given work {seconds:d} seconds into the cut")
+@then("workers of the zone get new tasks {seconds:d} seconds after the start of the cut")
 def step_served(context, seconds):
     machines = context.run.settings.machines()
     names = {machine.worker_id for machine in machines if machine.zone == context.zone}
-    late = sum(
+    started_count = sum(
         find_late_starts(context.run.cell, name, context.cut_at + seconds)
         - find_late_starts(context.run.cell, name, context.cut_at + seconds + 5.0)
         for name in names
     )
-    assert late > 0, "nothing was started: the zone stood still"
+    assert started_count > 0, "no task was started in the zone"
 
 
 RETENTION_FAULTS = (
@@ -240,17 +242,20 @@
     context.report, context.violations = result.report, result.violations
 
 
-@when('the log of "{name}" keeps {kept:d} seconds and entries write a snapshot every {every:d}')
+@when(
+    'the log of "{name}" retains {kept:d} seconds '
+    "and entries write a snapshot every {every:d} seconds"
+)
 def step_snapshots(context, name, kept, every):
     run_with_retention(context, name, float(kept), float(every))
 
 
-@when('the log of "{name}" keeps {kept:d} seconds and no entry writes a snapshot')
+@when('the log of "{name}" retains {kept:d} seconds and no entry writes a snapshot')
 def step_no_snapshots(context, name, kept):
     run_with_retention(context, name, float(kept), 1e9)
 
 
-@when('the entry "{entry}" of "{name}" is stopped while the log is away')
+@when('the entry "{entry}" of "{name}" is stopped while the log is unavailable')
 def step_stop_without_log(context, entry, name):
     run = Run(name, seed=71, load_seconds=4.0)
     run.cell.time.run_until(20.0)
@@ -267,12 +272,12 @@
     assert run.cell.entries[context.entry_name].stopped
 
 
-@when("a keyed job goes to an entry without the log and to one with it")
+@when("a keyed job is submitted to an entry that cannot reach the log and to one that can")
 def step_keyed_job(context):
     run = Run("motor-estudio", seed=81, load_seconds=0.1)
     cell = run.cell
     cell.network.cut("cba-a", "platform")
-    # By now a renewal is on its way in vain, so the job's record waits unsent behind it.
+    # A renewal is now in flight and cannot arrive, so the job's record stays unsent.
     cell.time.run_until(cell.time.now() + 2.0)
     task_class = run.settings.catalog()[("motor-estudio", "deck-build")]
     request = TaskRequest(
@@ -281,17 +286,17 @@
     job = JobSubmission(job_id="job-k", request=request)
     context.answers = {}
     for name in ("cba-a-1", "vmaria-1"):
-        learn = partial(context.answers.__setitem__, name)
-        cell.entries[name].shell.submit_job(job, 8.0, learn)
+        save_answer = partial(context.answers.__setitem__, name)
+        cell.entries[name].shell.submit_job(job, 8.0, save_answer)
     cell.time.run_until(cell.time.now() + 20.0)
 
 
-@then("the one with the log accepts it")
+@then("the entry that can reach the log accepts the job")
 def step_accepted(context):
     assert context.answers["vmaria-1"].code is ResultCode.ACCEPTED
 
 
-@then('the one without the log answers "{outcome}" with code {code:d}')
+@then('the entry that cannot reach the log answers "{outcome}" with code {code:d}')
 def step_unknown_state(context, outcome, code):
     answer = context.answers["cba-a-1"]
     assert (answer.outcome.value, int(answer.code)) == (outcome, code), answer
--- a/features/steps/result_code_steps.py
+++ b/features/steps/result_code_steps.py
@@ -1,4 +1,4 @@
-"""Steps about result codes."""
+"""Steps that check the result codes and their documentation."""
 
 import re
 from pathlib import Path
@@ -17,7 +17,7 @@
     context.rows = [match.groups() for line in lines if (match := ROW.match(line))]
 
 
-@then("it lists exactly the codes of the program, with their outcomes and statuses")
+@then("the table lists exactly the result codes of the program, with their outcomes and statuses")
 def step_match(context):
     expected = [
         (
@@ -32,7 +32,7 @@
     assert context.rows == expected, set(expected) ^ set(context.rows)
 
 
-@then('codes from {low:d} to {high:d} stand for "{outcome}"')
+@then('codes from {low:d} to {high:d} have the outcome "{outcome}"')
 def step_outcome(context, low, high, outcome):
     found = [code for code in ResultCode if low <= code <= high]
     assert found
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the settings tree, over HTTP."""
+"""Steps that read and change the settings tree over HTTP."""
 
 import json
 from pathlib import Path
@@ -19,7 +19,7 @@
     return exchange.body
 
 
-def change(context, items, dry_run=False):
+def post_changes(context, items, dry_run=False):
     context.change_count = getattr(context, "change_count", 0) + 1
     body = {
         "change_id": f"c{context.change_count}",
@@ -31,36 +31,39 @@
     context.cell.time.run_until(context.cell.time.now() + DECISION_SECONDS)
 
 
-def item(path, key, value, revision=None):
+def make_change(path, key, value, revision=None):
     return {"path": path, "key": key, "value": value, "expected_revision": revision}
 
 
 @when('an operator sets "{key}" at "{path}" to {value} on revision {revision:d}')
 def step_set_on_revision(context, key, path, value, revision):
-    change(context, [item(path, key, json.loads(value), revision)])
+    post_changes(context, [make_change(path, key, json.loads(value), revision)])
 
 
 @when('an operator sets "{key}" at "{path}" to {value}')
 def step_set(context, key, path, value):
-    change(context, [item(path, key, json.loads(value))])
+    post_changes(context, [make_change(path, key, json.loads(value))])
 
 
 @when('an operator unsets "{key}" at "{path}"')
 def step_unset(context, key, path):
-    change(context, [item(path, key, None)])
+    post_changes(context, [make_change(path, key, None)])
 
 
-@when('an operator sets two keys at "{path}", one on a wrong revision')
+@when('an operator sets two keys at "{path}", one with a wrong revision')
 def step_set_two(context, path):
-    change(context, [item(path, "task.priority", 1), item(path, "service.admitted", True, 999)])
+    post_changes(
+        context,
+        [make_change(path, "task.priority", 1), make_change(path, "service.admitted", True, 999)],
+    )
 
 
-@when('an operator tries "{key}" at "{path}" as {value} in a dry run')
+@when('an operator sends a dry run that sets "{key}" at "{path}" to {value}')
 def step_dry_run(context, key, path, value):
-    change(context, [item(path, key, json.loads(value))], dry_run=True)
+    post_changes(context, [make_change(path, key, json.loads(value))], dry_run=True)
 
 
-@when("the log goes away")
+@when("the log becomes unavailable")
 def step_log_away(context):
     context.cell.platform.begin_outage()
 
@@ -76,12 +79,12 @@
     assert context.exchange.body["winner"]["value"] == json.loads(value)
 
 
-@then("nothing is set")
+@then("the settings tree has no values")
 def step_nothing_set(context):
     assert get(context, "/v1/settings") == []
 
 
-@then('the reach names {count:d} classes of work in the zone "{zone}" only')
+@then('the answer lists {count:d} task classes, all in the zone "{zone}"')
 def step_reach(context, count, zone):
     reached = context.exchange.body
     assert len(reached) == count and {row["zone"] for row in reached} == {zone}, reached
@@ -93,7 +96,7 @@
     assert [(row["before"], row["after"]) for row in items] == [(None, 1), (1, 2)], items
 
 
-@then("no entry lags and {count:d} changes are in force everywhere")
+@then("no entry lags behind and {count:d} changes are in force at every entry")
 def step_spread(context, count):
     status = get(context, "/v1/settings/status")
     assert status["changes"] == count, status
@@ -101,6 +104,6 @@
     assert not any(entry["lags"] for entry in status["entries"]), status
 
 
-@then("docs/SETTINGS.md is what the schema gives")
+@then("docs/SETTINGS.md equals the page rendered from the schema")
 def step_page(context):
     assert PAGE.read_text(encoding="utf-8") == render_settings_page() + render_load_page()
--- a/src/onyxspoke/core/append_queue.py
+++ b/src/onyxspoke/core/append_queue.py
@@ -48,7 +48,7 @@
         self._appends_failing_since: float | None = None
         self.stopping = False
         #: No batch is sent before the reader has restored the state of the stream.
-        self.enabled = False
+        self.sending_enabled = False
 
     def add(self, record: LogRecord) -> None:
         """Queue a record for the next batch."""
@@ -79,7 +79,7 @@
 
     def next_batch(self, now: float) -> LogBatch | None:
         """Return the batch to send now, or ``None`` if no batch is due."""
-        if not self.enabled:
+        if not self.sending_enabled:
             return None
         if self._in_flight is not None:
             return self._batch_to_resend(self._in_flight, now)
@@ -107,7 +107,7 @@
         Returns ``None`` if no record is pending or if something other than the minimum
         interval keeps the records back.
         """
-        if not self.enabled or not self._pending_records or self._in_flight is not None:
+        if not self.sending_enabled or not self._pending_records or self._in_flight is not None:
             return None
         return self._last_created_at + self._options.minimum_interval_seconds
 
--- a/src/onyxspoke/core/capacity_index.py
+++ b/src/onyxspoke/core/capacity_index.py
@@ -65,8 +65,10 @@
     def _candidates(self, needed: Resources, policy: PlacementPolicy) -> Iterator[BucketKey]:
         if policy is PlacementPolicy.SPREAD:
             return iter(self._sorted_keys)
-        highest = (_highest_fitting_share(needed, self.key.capacity), *_UNBOUNDED_AMOUNTS)
-        candidates: Iterator[BucketKey] = self._sorted_keys.irange(maximum=highest, reverse=True)
+        highest_key = (_highest_fitting_share(needed, self.key.capacity), *_UNBOUNDED_AMOUNTS)
+        candidates: Iterator[BucketKey] = self._sorted_keys.irange(
+            maximum=highest_key, reverse=True
+        )
         return candidates
 
 
--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -169,12 +169,23 @@
             HoldingState(worker_id, holding.holder, holding.epoch)
             for worker_id, holding in self.holdings.items()
         ]
-        keys = [KeyState(key, entry.holder, entry.fingerprint) for key, entry in self.keys.items()]
-        ended = [self.jobs[job_id] for job_id in self._ended_job_ids]
-        running = [entry for jobs in self.open_jobs.values() for entry in jobs.values()]
+        keys = [
+            KeyState(key, key_ownership.holder, key_ownership.fingerprint)
+            for key, key_ownership in self.keys.items()
+        ]
+        ended_jobs = [self.jobs[job_id] for job_id in self._ended_job_ids]
+        running_jobs = [
+            durable_job for jobs in self.open_jobs.values() for durable_job in jobs.values()
+        ]
         jobs = [
-            JobState(entry.job, entry.zone, entry.runner, entry.answer, sorted(entry.started))
-            for entry in [*ended, *running]
+            JobState(
+                durable_job.job,
+                durable_job.zone,
+                durable_job.runner,
+                durable_job.answer,
+                sorted(durable_job.started),
+            )
+            for durable_job in [*ended_jobs, *running_jobs]
         ]
         return CellSnapshot(members, holdings, sorted(self.draining), keys, jobs)
 
@@ -209,22 +220,24 @@
 
     def _load_job(self, state: JobState) -> None:
         job_id = state.job.job_id
-        entry = JobEntry(state.job, state.zone, state.runner, state.answer, set(state.started))
-        self.jobs[job_id] = entry
+        durable_job = JobEntry(
+            state.job, state.zone, state.runner, state.answer, set(state.started)
+        )
+        self.jobs[job_id] = durable_job
         if state.answer is not None:
             self._ended_job_ids[job_id] = None
         else:
-            self.open_jobs.setdefault(state.runner, {})[job_id] = entry
+            self.open_jobs.setdefault(state.runner, {})[job_id] = durable_job
 
     def remove_expired_members(self, now: float, forget_seconds: float) -> None:
         """Remove members that own nothing and have not appended for ``forget_seconds``."""
         holders = {holding.holder for holding in self.holdings.values()} | self.open_jobs.keys()
-        expired_ids = [
+        expired_member_ids = [
             member.entry_id
             for member in self.members.values()
             if now - member.seen_at > forget_seconds and member.entry_id not in holders
         ]
-        for entry_id in expired_ids:
+        for entry_id in expired_member_ids:
             del self.members[entry_id]
 
     def _apply_member(self, offset: Offset, batch: LogBatch, now: float) -> bool:
@@ -282,8 +295,8 @@
             self.keys.popitem(last=False)
 
     def _apply_key_release(self, _offset: Offset, writer: EntryId, record: KeyRelease) -> None:
-        entry = self.keys.get(record.key)
-        if entry is not None and entry.holder == writer:
+        key_ownership = self.keys.get(record.key)
+        if key_ownership is not None and key_ownership.holder == writer:
             del self.keys[record.key]
 
     def has_appended_since(self, entry_id: EntryId, offset: Offset) -> bool:
@@ -294,46 +307,50 @@
     def _apply_job_accepted(self, _offset: Offset, writer: EntryId, record: JobAccepted) -> None:
         job_id = record.job.job_id
         if job_id not in self.jobs:
-            entry = JobEntry(record.job, self.members[writer].zone, writer)
-            self.jobs[job_id] = entry
-            self.open_jobs.setdefault(writer, {})[job_id] = entry
+            durable_job = JobEntry(record.job, self.members[writer].zone, writer)
+            self.jobs[job_id] = durable_job
+            self.open_jobs.setdefault(writer, {})[job_id] = durable_job
 
     def _apply_task_starting(self, _offset: Offset, writer: EntryId, record: TaskStarting) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is not None and entry.runner == writer:
-            entry.started.add(record.task_index)
+        durable_job = self.jobs.get(record.job_id)
+        if durable_job is not None and durable_job.runner == writer:
+            durable_job.started.add(record.task_index)
 
     def _apply_job_adopted(self, _offset: Offset, writer: EntryId, record: JobAdopted) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is None or entry.answer is not None or entry.runner != record.previous_runner:
+        durable_job = self.jobs.get(record.job_id)
+        if (
+            durable_job is None
+            or durable_job.answer is not None
+            or durable_job.runner != record.previous_runner
+        ):
             return
         if self.has_appended_since(record.previous_runner, record.runner_renewal_offset):
             return
-        self._set_job_runner(record.job_id, entry, writer)
+        self._set_job_runner(record.job_id, durable_job, writer)
 
     def _apply_job_released(self, _offset: Offset, writer: EntryId, record: JobReleased) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is not None and entry.answer is None and entry.runner == writer:
-            entry.started.clear()
-            self._set_job_runner(record.job_id, entry, "")
-
-    def _set_job_runner(self, job_id: JobId, entry: JobEntry, runner: EntryId) -> None:
-        self._remove_open_job(job_id, entry)
-        entry.runner = runner
-        self.open_jobs.setdefault(runner, {})[job_id] = entry
-
-    def _remove_open_job(self, job_id: JobId, entry: JobEntry) -> None:
-        jobs = self.open_jobs[entry.runner]
+        durable_job = self.jobs.get(record.job_id)
+        if durable_job is not None and durable_job.answer is None and durable_job.runner == writer:
+            durable_job.started.clear()
+            self._set_job_runner(record.job_id, durable_job, "")
+
+    def _set_job_runner(self, job_id: JobId, durable_job: JobEntry, runner: EntryId) -> None:
+        self._remove_open_job(job_id, durable_job)
+        durable_job.runner = runner
+        self.open_jobs.setdefault(runner, {})[job_id] = durable_job
+
+    def _remove_open_job(self, job_id: JobId, durable_job: JobEntry) -> None:
+        jobs = self.open_jobs[durable_job.runner]
         del jobs[job_id]
         if not jobs:
-            del self.open_jobs[entry.runner]
+            del self.open_jobs[durable_job.runner]
 
     def _apply_job_ended(self, _offset: Offset, writer: EntryId, record: JobEnded) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is None or entry.answer is not None or entry.runner != writer:
+        durable_job = self.jobs.get(record.job_id)
+        if durable_job is None or durable_job.answer is not None or durable_job.runner != writer:
             return
-        entry.answer = record.answer
-        self._remove_open_job(record.job_id, entry)
+        durable_job.answer = record.answer
+        self._remove_open_job(record.job_id, durable_job)
         self._ended_job_ids[record.job_id] = None
         if len(self._ended_job_ids) > self._limits.maximum_ended_jobs:
             oldest_job_id, _ = self._ended_job_ids.popitem(last=False)
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -83,7 +83,7 @@
         bootstrap.handle_stream_start(first_retained_offset)
         if next_offset > 1 and first_retained_offset > next_offset:
             self._context.emit(StateLost(stream))
-        self._context.appends[stream].enabled = bootstrap.is_complete
+        self._context.appends[stream].sending_enabled = bootstrap.is_complete
 
     def handle_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
         """Apply one batch of the cell stream, or buffer the batch until a snapshot is loaded."""
@@ -116,29 +116,29 @@
         if bootstrap.is_complete:
             apply_batch(offset, batch, now)
             return
-        loaded = bootstrap.read(offset, batch)
-        if loaded is None:
+        loaded_snapshot = bootstrap.read(offset, batch)
+        if loaded_snapshot is None:
             return
-        load_snapshot_data(loaded, now)
-        for buffered_offset, buffered_batch in bootstrap.take_buffered(loaded.covers):
+        load_snapshot_data(loaded_snapshot, now)
+        for buffered_offset, buffered_batch in bootstrap.take_buffered(loaded_snapshot.covers):
             apply_batch(buffered_offset, buffered_batch, now)
-        self._context.appends[stream].enabled = True
+        self._context.appends[stream].sending_enabled = True
 
-    def _load_cell_snapshot(self, loaded: LoadedSnapshot, now: float) -> None:
-        snapshot = msgspec.msgpack.decode(loaded.data, type=CellSnapshot)
-        self._context.cell.load_snapshot(snapshot, loaded.covers, now)
+    def _load_cell_snapshot(self, loaded_snapshot: LoadedSnapshot, now: float) -> None:
+        snapshot = msgspec.msgpack.decode(loaded_snapshot.data, type=CellSnapshot)
+        self._context.cell.load_snapshot(snapshot, loaded_snapshot.covers, now)
         for member in snapshot.members:
             self._add_peer(member.entry_id, member.zone, member.peer_host, member.peer_port)
 
-    def _load_settings_snapshot(self, loaded: LoadedSnapshot, _now: float) -> None:
-        snapshot = msgspec.msgpack.decode(loaded.data, type=SettingsSnapshot)
+    def _load_settings_snapshot(self, loaded_snapshot: LoadedSnapshot, _now: float) -> None:
+        snapshot = msgspec.msgpack.decode(loaded_snapshot.data, type=SettingsSnapshot)
         self._context.settings.load_snapshot(snapshot)
-        self._applied_settings_offset = loaded.covers
+        self._applied_settings_offset = loaded_snapshot.covers
 
     def write_due_snapshots(self, now: float) -> None:
         """Write a snapshot of each stream whose last snapshot is too old."""
         for stream, writer in self._snapshot_writers.items():
-            if self._context.appends[stream].enabled and not self._context.stopping:
+            if self._context.appends[stream].sending_enabled and not self._context.stopping:
                 writer.tick(now)
 
     def _apply_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
--- a/src/onyxspoke/core/owned_worker.py
+++ b/src/onyxspoke/core/owned_worker.py
@@ -84,8 +84,8 @@
             return
         if target not in ALLOWED_WORKER_TRANSITIONS[self.state]:
             raise ValueError(
-                f"worker {self.worker_id}: transition {self.state.value} -> {target.value} "
-                "is not allowed"
+                f"worker {self.worker_id}: forbidden transition "
+                f"{self.state.value} -> {target.value}"
             )
         self.state = target
 
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -45,16 +45,16 @@
     """Caches the live entry that hashing prefers for each worker, until the entries change."""
 
     def __init__(self) -> None:
-        self._live: list[EntryId] = []
+        self._live_entry_ids: list[EntryId] = []
         self._preferred: dict[WorkerId, EntryId | None] = {}
 
-    def preferred(self, worker_id: WorkerId, live: list[EntryId]) -> EntryId | None:
+    def preferred(self, worker_id: WorkerId, live_entry_ids: list[EntryId]) -> EntryId | None:
         """Return the live entry that rendezvous hashing prefers for a worker."""
-        if live != self._live:
-            self._live = list(live)
+        if live_entry_ids != self._live_entry_ids:
+            self._live_entry_ids = list(live_entry_ids)
             self._preferred.clear()
         if worker_id not in self._preferred:
-            self._preferred[worker_id] = preferred(worker_id, live)
+            self._preferred[worker_id] = preferred(worker_id, live_entry_ids)
         return self._preferred[worker_id]
 
 
@@ -86,15 +86,15 @@
     promised_until : mapping
         Time, for each holder, until which this entry promised not to claim its workers.
     """
-    live = cell.live_members(identity.zone, now, options.lapse_seconds)
+    live_entry_ids = cell.live_members(identity.zone, now, options.lapse_seconds)
     claims: list[ClaimItem] = []
     releases: list[WorkerId] = []
-    if identity.entry_id not in live:
+    if identity.entry_id not in live_entry_ids:
         return OwnershipPlan(claims, releases)
     for machine in machines:
         if machine.zone != identity.zone:
             continue
-        should_own = cache.preferred(machine.worker_id, live) == identity.entry_id
+        should_own = cache.preferred(machine.worker_id, live_entry_ids) == identity.entry_id
         owns_worker = cell.holding_of(machine.worker_id).holder == identity.entry_id
         if owns_worker and not should_own:
             releases.append(machine.worker_id)
--- a/src/onyxspoke/core/ownership_keeper.py
+++ b/src/onyxspoke/core/ownership_keeper.py
@@ -16,9 +16,9 @@
     def __init__(self, context: EntryContext) -> None:
         self._context = context
         self._preferences = PreferenceCache()
-        self._pending_claim_ids: set[WorkerId] = set()
-        self._pending_release_ids: set[WorkerId] = set()
-        self._attached_ids: set[WorkerId] = set()
+        self._pending_claim_worker_ids: set[WorkerId] = set()
+        self._pending_release_worker_ids: set[WorkerId] = set()
+        self._attached_worker_ids: set[WorkerId] = set()
         self._first_renewal_read_at: float | None = None
         self._next_plan_at = float("-inf")
 
@@ -26,15 +26,15 @@
         """Apply a new machine list; return the owned workers that the list no longer contains."""
         context = self._context
         context.machines = {machine.worker_id: machine for machine in machines}
-        removed_ids: list[WorkerId] = []
+        removed_worker_ids: list[WorkerId] = []
         for worker in list(context.workers.workers.values()):
             machine = context.machines.get(worker.worker_id)
             if machine is None:
-                removed_ids.append(worker.worker_id)
+                removed_worker_ids.append(worker.worker_id)
             else:
                 worker.machine = machine
                 context.workers.refresh(worker)
-        return removed_ids
+        return removed_worker_ids
 
     def handle_own_batch(self, created_at: float, now: float) -> None:
         """Extend the lease, because a batch of this entry was read back from the log.
@@ -49,12 +49,12 @@
 
     def sync_with_log(self, now: float) -> list[WorkerId]:
         """Update the worker table from the state of the cell; return the workers that were lost."""
-        lost_ids = self._drop_lost()
+        lost_worker_ids = self._drop_lost()
         self._attach_claimed(now)
         for worker in self._context.workers.workers.values():
             worker.draining = worker.worker_id in self._context.cell.draining
             self._context.workers.refresh(worker)
-        return lost_ids
+        return lost_worker_ids
 
     def plan(self, now: float) -> None:
         """Append claims and releases for workers whose preferred entry is not their owner."""
@@ -83,10 +83,10 @@
 
     def reattach(self, now: float) -> None:
         """Attach the workers again that are disconnected or have not answered."""
-        interval = self._context.options.reattach_interval_seconds
+        interval_seconds = self._context.options.reattach_interval_seconds
         for worker in self._context.workers.workers.values():
             needs_attach = worker.state is not WorkerState.ACTIVE
-            if needs_attach and now - worker.attach_sent_at >= interval:
+            if needs_attach and now - worker.attach_sent_at >= interval_seconds:
                 self._attach(worker, now)
         self._detach_idle()
 
@@ -108,7 +108,7 @@
 
     def handle_disconnect(self, worker_id: WorkerId) -> bool:
         """Handle a lost connection to a worker; return whether this entry still owns the worker."""
-        self._attached_ids.discard(worker_id)
+        self._attached_worker_ids.discard(worker_id)
         worker = self._context.workers.workers.get(worker_id)
         if worker is None:
             return False
@@ -122,50 +122,56 @@
         return now - self._first_renewal_read_at >= self._context.options.lease.settle_seconds
 
     def _append_claims(self, claims: list[ClaimItem]) -> None:
-        fresh = [item for item in claims if item.worker_id not in self._pending_claim_ids]
-        if fresh:
-            self._pending_claim_ids.update(item.worker_id for item in fresh)
+        new_claims = [
+            item for item in claims if item.worker_id not in self._pending_claim_worker_ids
+        ]
+        if new_claims:
+            self._pending_claim_worker_ids.update(item.worker_id for item in new_claims)
             holding_of = self._context.cell.holding_of
-            self._context.claimed_from.update(holding_of(item.worker_id).holder for item in fresh)
-            self._context.cell_appends.add(WorkerClaim(fresh))
+            self._context.claimed_from.update(
+                holding_of(item.worker_id).holder for item in new_claims
+            )
+            self._context.cell_appends.add(WorkerClaim(new_claims))
 
     def _append_releases(self, worker_ids: list[WorkerId]) -> None:
-        fresh = [worker for worker in worker_ids if worker not in self._pending_release_ids]
-        if not fresh:
+        new_release_ids = [
+            worker for worker in worker_ids if worker not in self._pending_release_worker_ids
+        ]
+        if not new_release_ids:
             return
-        self._pending_release_ids.update(fresh)
-        for worker_id in fresh:
+        self._pending_release_worker_ids.update(new_release_ids)
+        for worker_id in new_release_ids:
             # The worker gets no new task from now on, even before the release is read back.
             self._context.workers.remove(worker_id)
-        self._context.cell_appends.add(WorkerRelease(fresh))
+        self._context.cell_appends.add(WorkerRelease(new_release_ids))
 
     def handle_own_records(self, claims: list[ClaimItem], releases: list[WorkerId]) -> None:
         """Handle this entry's claims and releases that were read back from the log.
 
         They are no longer pending, whether or not readers accept them.
         """
-        self._pending_claim_ids.difference_update(item.worker_id for item in claims)
-        if not self._pending_claim_ids:
+        self._pending_claim_worker_ids.difference_update(item.worker_id for item in claims)
+        if not self._pending_claim_worker_ids:
             self._context.claimed_from.clear()
-        self._pending_release_ids.difference_update(releases)
+        self._pending_release_worker_ids.difference_update(releases)
 
     def _drop_lost(self) -> list[WorkerId]:
         context = self._context
-        lost_ids = [
+        lost_worker_ids = [
             worker.worker_id
             for worker in context.workers.workers.values()
             if context.cell.holding_of(worker.worker_id).holder != context.identity.entry_id
         ]
-        for worker_id in lost_ids:
+        for worker_id in lost_worker_ids:
             context.workers.remove(worker_id)
-        return lost_ids
+        return lost_worker_ids
 
     def _attach_claimed(self, now: float) -> None:
         context = self._context
         for worker_id, holding in context.cell.holdings.items():
             if holding.holder != context.identity.entry_id:
                 continue
-            if worker_id in self._pending_release_ids:
+            if worker_id in self._pending_release_worker_ids:
                 continue
             machine = context.machines.get(worker_id)
             owned = context.workers.workers.get(worker_id)
@@ -178,15 +184,15 @@
         worker.session += 1
         worker.transition(WorkerState.ATTACHING)
         self._context.workers.refresh(worker)
-        self._attached_ids.add(worker.worker_id)
+        self._attached_worker_ids.add(worker.worker_id)
         self._context.emit(AttachWorker(worker.machine, worker.token))
 
     def _detach_idle(self) -> None:
         context = self._context
-        candidate_ids = self._attached_ids - context.workers.workers.keys()
-        if not candidate_ids:
+        candidate_worker_ids = self._attached_worker_ids - context.workers.workers.keys()
+        if not candidate_worker_ids:
             return
-        busy_ids = {request.worker_id for request in context.attempts.values()}
-        for worker_id in sorted(candidate_ids - busy_ids):
-            self._attached_ids.discard(worker_id)
+        busy_worker_ids = {request.worker_id for request in context.attempts.values()}
+        for worker_id in sorted(candidate_worker_ids - busy_worker_ids):
+            self._attached_worker_ids.discard(worker_id)
             context.emit(DetachWorker(worker_id))
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -155,8 +155,8 @@
     ) -> list[Action]:
         """Handle the inventory of a worker that accepted this entry's fencing token."""
         if self.ownership.handle_inventory(worker_id, token, capacity, running):
-            still_running = {task.attempt_id for task in running}
-            self.dispatcher.handle_missing_attempts(worker_id, still_running, now)
+            running_attempt_ids = {task.attempt_id for task in running}
+            self.dispatcher.handle_missing_attempts(worker_id, running_attempt_ids, now)
             self.dispatcher.pump(now)
         return self._take_actions(now)
 
@@ -257,8 +257,8 @@
     ) -> list[Action]:
         """Handle a peer's advertisement of its free capacity and settings revision."""
         self.settings_watch.handle_peer_revision(peer_id, settings_revision, now)
-        lifetime = self.context.options.advertisement_lifetime_seconds
-        self.context.peers.handle_advertisement(peer_id, free, largest_free, now + lifetime)
+        lifetime_seconds = self.context.options.advertisement_lifetime_seconds
+        self.context.peers.handle_advertisement(peer_id, free, largest_free, now + lifetime_seconds)
         self.dispatcher.pump(now)
         return self._take_actions(now)
 
--- a/src/onyxspoke/core/settings_watch.py
+++ b/src/onyxspoke/core/settings_watch.py
@@ -92,9 +92,9 @@
         """Stop tracking the peers that are no longer live."""
         if not self._awaited_revisions:
             return
-        live = set(self._live_peers(now))
+        live_ids = set(self._live_peers(now))
         for awaited in self._awaited_revisions:
-            awaited.missing_peers &= live
+            awaited.missing_peers &= live_ids
         self._report_propagated(now)
 
     def laggards(self, now: float) -> list[EntryId]:
@@ -108,9 +108,9 @@
 
     def _live_peers(self, now: float) -> list[EntryId]:
         lapse_seconds = self._context.options.lease.lapse_seconds
-        live = self._context.cell.all_live_members(now, lapse_seconds)
+        live_ids = self._context.cell.all_live_members(now, lapse_seconds)
         own_id = self._context.identity.entry_id
-        return sorted(entry_id for entry_id in live if entry_id != own_id)
+        return sorted(entry_id for entry_id in live_ids if entry_id != own_id)
 
     def _report_propagated(self, now: float) -> None:
         for awaited in self._awaited_revisions:
--- a/src/onyxspoke/core/snapshot_writer.py
+++ b/src/onyxspoke/core/snapshot_writer.py
@@ -47,9 +47,9 @@
         if now - self._last_snapshot_at < self._context.options.snapshot_interval_seconds:
             return
         context = self._context
-        live_ids = context.cell.all_live_members(now, context.options.lease.lapse_seconds)
+        live_member_ids = context.cell.all_live_members(now, context.options.lease.lapse_seconds)
         entry_id = context.identity.entry_id
-        if preferred(f"snapshot-{self._stream.value}", live_ids) != entry_id:
+        if preferred(f"snapshot-{self._stream.value}", live_member_ids) != entry_id:
             return
         self._last_snapshot_at = now
         self._snapshot_count += 1
