--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -1,7 +1,7 @@
 """State of the cell, which every entry rebuilds by replaying the cell stream of the log.
 
 The state depends only on the records and their order, so two readers of the same prefix
-of the log have the same state.  The only local value is ``seen_at``: the time, on the
+of the log have the same state.  The only local value is ``last_seen_at``: the time, on the
 reader's own monotonic clock, at which this reader read a member's last batch.
 """
 
@@ -32,10 +32,10 @@
 from onyxspoke.core.schema import Answer, EntryId, Epoch, JobId, JobSubmission, Offset, WorkerId
 from onyxspoke.core.snapshot import (
     CellSnapshot,
-    HoldingState,
     JobState,
     KeyState,
     MemberState,
+    OwnershipState,
 )
 
 
@@ -50,10 +50,10 @@
     stopping: bool
     last_sequence: int
     last_offset: Offset
-    seen_at: float
+    last_seen_at: float
 
 
-class Holding(msgspec.Struct, frozen=True):
+class WorkerOwnership(msgspec.Struct, frozen=True):
     """The owner of a worker; ``holder`` is empty if the worker was never claimed or is released."""
 
     holder: EntryId
@@ -68,11 +68,11 @@
 
 
 @dataclass(slots=True)
-class JobEntry:
+class DurableJob:
     """A durable job.
 
     ``answer`` is ``None`` until the job has ended.  ``runner`` is empty while the job is
-    released.  ``started`` has the indexes of the tasks of an unrepeatable job that may have
+    released.  ``started_indexes`` has the indexes of the tasks of an unrepeatable job that may have
     been started.
     """
 
@@ -80,7 +80,7 @@
     zone: str
     runner: EntryId
     answer: Answer | None = None
-    started: set[int] = field(default_factory=set)
+    started_indexes: set[int] = field(default_factory=set)
 
 
 class CellLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -93,7 +93,7 @@
     maximum_ended_jobs: int = 5_000
 
 
-UNOWNED = Holding(holder="", epoch=0)
+UNOWNED = WorkerOwnership(holder="", epoch=0)
 
 
 class CellState:
@@ -102,11 +102,11 @@
     def __init__(self, limits: CellLimits) -> None:
         self._limits = limits
         self.members: dict[EntryId, Member] = {}
-        self.holdings: dict[WorkerId, Holding] = {}
+        self.ownerships: dict[WorkerId, WorkerOwnership] = {}
         self.draining: set[WorkerId] = set()
         self.keys: OrderedDict[str, KeyOwnership] = OrderedDict()
-        self.jobs: dict[JobId, JobEntry] = {}
-        self.open_jobs: dict[EntryId, dict[JobId, JobEntry]] = {}
+        self.jobs: dict[JobId, DurableJob] = {}
+        self.open_jobs: dict[EntryId, dict[JobId, DurableJob]] = {}
         self._ended_job_ids: OrderedDict[JobId, None] = OrderedDict()
         self.applied_offset: Offset = 0
         self._handlers: dict[type, Callable[[Offset, EntryId, Any], None]] = {
@@ -131,24 +131,26 @@
             self._apply_record(offset, batch.writer, record)
         return True
 
-    def holding_of(self, worker_id: WorkerId) -> Holding:
+    def ownership_of(self, worker_id: WorkerId) -> WorkerOwnership:
         """Return the current ownership of a worker."""
-        return self.holdings.get(worker_id, UNOWNED)
+        return self.ownerships.get(worker_id, UNOWNED)
 
-    def live_members(self, zone: str, now: float, lapse_seconds: float) -> list[EntryId]:
+    def live_members(self, zone: str, now: float, member_timeout_seconds: float) -> list[EntryId]:
         """Return the members of a zone that appended recently and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
-            if member.zone == zone and not member.stopping and now - member.seen_at < lapse_seconds
+            if member.zone == zone
+            and not member.stopping
+            and now - member.last_seen_at < member_timeout_seconds
         ]
 
-    def all_live_members(self, now: float, lapse_seconds: float) -> list[EntryId]:
+    def all_live_members(self, now: float, member_timeout_seconds: float) -> list[EntryId]:
         """Return the members of all zones that appended recently and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
-            if not member.stopping and now - member.seen_at < lapse_seconds
+            if not member.stopping and now - member.last_seen_at < member_timeout_seconds
         ]
 
     def to_snapshot(self) -> CellSnapshot:
@@ -165,9 +167,9 @@
             )
             for member in self.members.values()
         ]
-        holdings = [
-            HoldingState(worker_id, holding.holder, holding.epoch)
-            for worker_id, holding in self.holdings.items()
+        ownerships = [
+            OwnershipState(worker_id, holding.holder, holding.epoch)
+            for worker_id, holding in self.ownerships.items()
         ]
         keys = [
             KeyState(key, key_ownership.holder, key_ownership.fingerprint)
@@ -183,11 +185,11 @@
                 durable_job.zone,
                 durable_job.runner,
                 durable_job.answer,
-                sorted(durable_job.started),
+                sorted(durable_job.started_indexes),
             )
             for durable_job in [*ended_jobs, *running_jobs]
         ]
-        return CellSnapshot(members, holdings, sorted(self.draining), keys, jobs)
+        return CellSnapshot(members, ownerships, sorted(self.draining), keys, jobs)
 
     def load_snapshot(self, snapshot: CellSnapshot, covers: Offset, now: float) -> None:
         """Replace the state by a snapshot.
@@ -204,12 +206,13 @@
                 stopping=state.stopping,
                 last_sequence=state.last_sequence,
                 last_offset=state.last_offset,
-                seen_at=now,
+                last_seen_at=now,
             )
             for state in snapshot.members
         }
-        self.holdings = {
-            state.worker_id: Holding(state.holder, state.epoch) for state in snapshot.holdings
+        self.ownerships = {
+            state.worker_id: WorkerOwnership(state.holder, state.epoch)
+            for state in snapshot.ownerships
         }
         self.draining = set(snapshot.draining)
         self.keys = OrderedDict(
@@ -220,8 +223,8 @@
 
     def _load_job(self, state: JobState) -> None:
         job_id = state.job.job_id
-        durable_job = JobEntry(
-            state.job, state.zone, state.runner, state.answer, set(state.started)
+        durable_job = DurableJob(
+            state.job, state.zone, state.runner, state.answer, set(state.started_indexes)
         )
         self.jobs[job_id] = durable_job
         if state.answer is not None:
@@ -229,13 +232,14 @@
         else:
             self.open_jobs.setdefault(state.runner, {})[job_id] = durable_job
 
-    def remove_expired_members(self, now: float, forget_seconds: float) -> None:
-        """Remove members that own nothing and have not appended for ``forget_seconds``."""
-        holders = {holding.holder for holding in self.holdings.values()} | self.open_jobs.keys()
+    def remove_expired_members(self, now: float, member_retention_seconds: float) -> None:
+        """Remove members that own nothing and have been silent for the retention time."""
+        holders = {holding.holder for holding in self.ownerships.values()} | self.open_jobs.keys()
         expired_member_ids = [
             member.entry_id
             for member in self.members.values()
-            if now - member.seen_at > forget_seconds and member.entry_id not in holders
+            if now - member.last_seen_at > member_retention_seconds
+            and member.entry_id not in holders
         ]
         for entry_id in expired_member_ids:
             del self.members[entry_id]
@@ -252,7 +256,7 @@
             stopping=batch.stopping,
             last_sequence=batch.sequence,
             last_offset=offset,
-            seen_at=now,
+            last_seen_at=now,
         )
         return True
 
@@ -266,7 +270,7 @@
             self._apply_claim(offset, writer, item)
 
     def _apply_claim(self, offset: Offset, writer: EntryId, item: ClaimItem) -> None:
-        current = self.holding_of(item.worker_id)
+        current = self.ownership_of(item.worker_id)
         if current.epoch != item.expected_epoch:
             return
         is_owned_by_other = current.holder not in ("", writer)
@@ -274,12 +278,12 @@
             current.holder, item.holder_renewal_offset
         ):
             return
-        self.holdings[item.worker_id] = Holding(holder=writer, epoch=offset)
+        self.ownerships[item.worker_id] = WorkerOwnership(holder=writer, epoch=offset)
 
     def _apply_release(self, offset: Offset, writer: EntryId, record: WorkerRelease) -> None:
         for worker_id in record.worker_ids:
-            if self.holding_of(worker_id).holder == writer:
-                self.holdings[worker_id] = Holding(holder="", epoch=offset)
+            if self.ownership_of(worker_id).holder == writer:
+                self.ownerships[worker_id] = WorkerOwnership(holder="", epoch=offset)
 
     def _apply_drain(self, _offset: Offset, _writer: EntryId, record: WorkerDrain) -> None:
         if record.draining:
@@ -307,14 +311,14 @@
     def _apply_job_accepted(self, _offset: Offset, writer: EntryId, record: JobAccepted) -> None:
         job_id = record.job.job_id
         if job_id not in self.jobs:
-            durable_job = JobEntry(record.job, self.members[writer].zone, writer)
+            durable_job = DurableJob(record.job, self.members[writer].zone, writer)
             self.jobs[job_id] = durable_job
             self.open_jobs.setdefault(writer, {})[job_id] = durable_job
 
     def _apply_task_starting(self, _offset: Offset, writer: EntryId, record: TaskStarting) -> None:
         durable_job = self.jobs.get(record.job_id)
         if durable_job is not None and durable_job.runner == writer:
-            durable_job.started.add(record.task_index)
+            durable_job.started_indexes.add(record.task_index)
 
     def _apply_job_adopted(self, _offset: Offset, writer: EntryId, record: JobAdopted) -> None:
         durable_job = self.jobs.get(record.job_id)
@@ -331,15 +335,15 @@
     def _apply_job_released(self, _offset: Offset, writer: EntryId, record: JobReleased) -> None:
         durable_job = self.jobs.get(record.job_id)
         if durable_job is not None and durable_job.answer is None and durable_job.runner == writer:
-            durable_job.started.clear()
+            durable_job.started_indexes.clear()
             self._set_job_runner(record.job_id, durable_job, "")
 
-    def _set_job_runner(self, job_id: JobId, durable_job: JobEntry, runner: EntryId) -> None:
+    def _set_job_runner(self, job_id: JobId, durable_job: DurableJob, runner: EntryId) -> None:
         self._remove_open_job(job_id, durable_job)
         durable_job.runner = runner
         self.open_jobs.setdefault(runner, {})[job_id] = durable_job
 
-    def _remove_open_job(self, job_id: JobId, durable_job: JobEntry) -> None:
+    def _remove_open_job(self, job_id: JobId, durable_job: DurableJob) -> None:
         jobs = self.open_jobs[durable_job.runner]
         del jobs[job_id]
         if not jobs:
--- a/src/onyxspoke/core/job_recovery.py
+++ b/src/onyxspoke/core/job_recovery.py
@@ -39,7 +39,7 @@
 
     def begin(self, job_id: JobId, now: float) -> None:
         """Start to recover a job whose adoption was read back."""
-        self._not_before[job_id] = now + self._context.options.lease.lapse_seconds
+        self._not_before[job_id] = now + self._context.options.lease.member_timeout_seconds
 
     def forget(self, job_id: JobId) -> None:
         """Stop to recover a job that another entry has taken, or that ended."""
@@ -122,11 +122,11 @@
     def _zone_peers(self, now: float) -> list[EntryId]:
         """Return the zone's entries that may own workers, reachable or not."""
         context = self._context
-        lapse_seconds = context.options.lease.lapse_seconds
+        member_timeout_seconds = context.options.lease.member_timeout_seconds
         return sorted(
             member.entry_id
             for member in context.cell.members.values()
             if member.zone == context.identity.zone
             and member.entry_id != context.identity.entry_id
-            and now - member.seen_at < lapse_seconds
+            and now - member.last_seen_at < member_timeout_seconds
         )
--- a/src/onyxspoke/core/key_guard.py
+++ b/src/onyxspoke/core/key_guard.py
@@ -108,7 +108,7 @@
         self._context.ledger.begin(key, request.request_id, fingerprint)
         intent = KeyIntent(key, fingerprint)
         self._intents[key] = intent
-        self._context.cell_appends.add(intent)
+        self._context.cell_append_queue.add(intent)
 
     def _join(self, request: ActiveRequest, run: KeyRun, fingerprint: int, now: float) -> None:
         if run.fingerprint != fingerprint:
@@ -144,16 +144,16 @@
             return
         self._context.ledger.forget(key)
         if is_holder:
-            self._context.cell_appends.add(KeyRelease(key))
+            self._context.cell_append_queue.add(KeyRelease(key))
 
     def _release(self, key: str) -> None:
         intent = self._intents.get(key)
-        if intent is not None and not self._context.cell_appends.withdraw(intent):
+        if intent is not None and not self._context.cell_append_queue.withdraw(intent):
             return  # The intent is on its way; it is cleaned up when it is read back.
         self._intents.pop(key, None)
         self._context.ledger.forget(key)
         if intent is None:
-            self._context.cell_appends.add(KeyRelease(key))
+            self._context.cell_append_queue.add(KeyRelease(key))
 
     def _refuse(self, request: ActiveRequest, code: ResultCode, now: float) -> None:
         self._dispatcher.answer(request, self._context.refusal(code), now)
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -32,10 +32,10 @@
     WorkerDrain,
     WorkerRelease,
 )
-from onyxspoke.core.ownership_keeper import OwnershipKeeper
+from onyxspoke.core.ownership_manager import OwnershipManager
 from onyxspoke.core.peer_table import PeerState
 from onyxspoke.core.schema import Offset
-from onyxspoke.core.settings_watch import PendingChanges, SettingsWatch
+from onyxspoke.core.settings_propagation import PendingChanges, SettingsPropagation
 from onyxspoke.core.snapshot import (
     CellSnapshot,
     LoadedSnapshot,
@@ -51,15 +51,15 @@
     def __init__(
         self,
         context: EntryContext,
-        ownership: OwnershipKeeper,
+        ownership: OwnershipManager,
         keys: KeyGuard,
         acceptance: JobAcceptance,
         jobs: JobRunner,
-        settings_watch: SettingsWatch,
+        settings_propagation: SettingsPropagation,
         pending_changes: PendingChanges,
     ) -> None:
         self._pending_changes = pending_changes
-        self._settings_watch = settings_watch
+        self._settings_watch = settings_propagation
         self._context = context
         self._ownership = ownership
         self._keys = keys
@@ -83,7 +83,7 @@
         bootstrap.handle_stream_start(first_retained_offset)
         if next_offset > 1 and first_retained_offset > next_offset:
             self._context.emit(StateLost(stream))
-        self._context.appends[stream].sending_enabled = bootstrap.is_complete
+        self._context.append_queues[stream].sending_enabled = bootstrap.is_complete
 
     def handle_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
         """Apply one batch of the cell stream, or buffer the batch until a snapshot is loaded."""
@@ -122,7 +122,7 @@
         load_snapshot_data(loaded_snapshot, now)
         for buffered_offset, buffered_batch in bootstrap.take_buffered(loaded_snapshot.covers):
             apply_batch(buffered_offset, buffered_batch, now)
-        self._context.appends[stream].sending_enabled = True
+        self._context.append_queues[stream].sending_enabled = True
 
     def _load_cell_snapshot(self, loaded_snapshot: LoadedSnapshot, now: float) -> None:
         snapshot = msgspec.msgpack.decode(loaded_snapshot.data, type=CellSnapshot)
@@ -138,13 +138,13 @@
     def write_due_snapshots(self, now: float) -> None:
         """Write a snapshot of each stream whose last snapshot is too old."""
         for stream, writer in self._snapshot_writers.items():
-            if self._context.appends[stream].sending_enabled and not self._context.stopping:
+            if self._context.append_queues[stream].sending_enabled and not self._context.stopping:
                 writer.tick(now)
 
     def _apply_cell_batch(self, offset: Offset, batch: LogBatch, now: float) -> None:
         context = self._context
         is_own_batch = batch.writer == context.identity.entry_id
-        created_at = context.cell_appends.handle_read(batch.sequence) if is_own_batch else None
+        created_at = context.cell_append_queue.handle_read(batch.sequence) if is_own_batch else None
         if not context.cell.apply(offset, batch, now):
             return
         context.log_read_at = now
@@ -169,7 +169,7 @@
         is_own_batch = batch.writer == context.identity.entry_id
         self._applied_settings_offset = offset
         if is_own_batch:
-            context.appends[LogStream.SETTINGS].handle_read(batch.sequence)
+            context.append_queues[LogStream.SETTINGS].handle_read(batch.sequence)
         for record in batch.records:
             if isinstance(record, SnapshotPart):
                 self._snapshot_writers[LogStream.SETTINGS].handle_part_read(now)
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -26,10 +26,10 @@
     lease_seconds: float = 5.0
     margin_seconds: float = 1.0
     settle_seconds: float = 1.0
-    forget_seconds: float = 600.0
+    member_retention_seconds: float = 600.0
 
     @property
-    def lapse_seconds(self) -> float:
+    def member_timeout_seconds(self) -> float:
         """Time without a new batch after which a member counts as failed."""
         return self.lease_seconds + self.margin_seconds
 
@@ -65,7 +65,7 @@
     now: float,
     options: LeaseOptions,
     cache: PreferenceCache,
-    promised_until: Mapping[EntryId, float],
+    holdover_promised_until: Mapping[EntryId, float],
 ) -> OwnershipPlan:
     """Compare the ownership that hashing assigns with the ownership in the log.
 
@@ -83,10 +83,10 @@
         Durations of leases.
     cache : PreferenceCache
         Keeps the preferred entries from one plan to the next.
-    promised_until : mapping
+    holdover_promised_until : mapping
         Time, for each holder, until which this entry promised not to claim its workers.
     """
-    live_entry_ids = cell.live_members(identity.zone, now, options.lapse_seconds)
+    live_entry_ids = cell.live_members(identity.zone, now, options.member_timeout_seconds)
     claims: list[ClaimItem] = []
     releases: list[WorkerId] = []
     if identity.entry_id not in live_entry_ids:
@@ -95,12 +95,12 @@
         if machine.zone != identity.zone:
             continue
         should_own = cache.preferred(machine.worker_id, live_entry_ids) == identity.entry_id
-        owns_worker = cell.holding_of(machine.worker_id).holder == identity.entry_id
+        owns_worker = cell.ownership_of(machine.worker_id).holder == identity.entry_id
         if owns_worker and not should_own:
             releases.append(machine.worker_id)
         elif should_own and not owns_worker and machine.listing is WorkerListing.LIVE:
-            holder = cell.holding_of(machine.worker_id).holder
-            if now < promised_until.get(holder, now):
+            holder = cell.ownership_of(machine.worker_id).holder
+            if now < holdover_promised_until.get(holder, now):
                 continue
             claim = _make_claim_if_expired(cell, machine.worker_id, now, options)
             if claim is not None:
@@ -111,10 +111,10 @@
 def _make_claim_if_expired(
     cell: CellState, worker_id: WorkerId, now: float, options: LeaseOptions
 ) -> ClaimItem | None:
-    holding = cell.holding_of(worker_id)
+    holding = cell.ownership_of(worker_id)
     holder = cell.members.get(holding.holder)
     if holder is None:
         return ClaimItem(worker_id, holding.epoch, 0)
-    if now - holder.seen_at <= options.lapse_seconds:
+    if now - holder.last_seen_at <= options.member_timeout_seconds:
         return None
     return ClaimItem(worker_id, holding.epoch, holder.last_offset)
--- a/src/onyxspoke/core/ownership_keeper.py
+++ b/src/onyxspoke/core/ownership_manager.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.schema import FencingToken, MachineRecord, Resources, RunningTask, WorkerId
 
 
-class OwnershipKeeper:
+class OwnershipManager:
     """Claims, attaches, releases and detaches the workers of this entry."""
 
     def __init__(self, context: EntryContext) -> None:
@@ -71,11 +71,11 @@
             now,
             context.options.lease,
             self._preferences,
-            context.promised_until,
+            context.holdover_promised_until,
         )
         self._append_claims(plan.claims)
         self._append_releases(plan.releases)
-        context.cell.remove_expired_members(now, context.options.lease.forget_seconds)
+        context.cell.remove_expired_members(now, context.options.lease.member_retention_seconds)
 
     def release_all(self) -> None:
         """Release every owned worker, as part of a planned stop."""
@@ -127,11 +127,11 @@
         ]
         if new_claims:
             self._pending_claim_worker_ids.update(item.worker_id for item in new_claims)
-            holding_of = self._context.cell.holding_of
-            self._context.claimed_from.update(
-                holding_of(item.worker_id).holder for item in new_claims
+            ownership_of = self._context.cell.ownership_of
+            self._context.takeover_pending_from.update(
+                ownership_of(item.worker_id).holder for item in new_claims
             )
-            self._context.cell_appends.add(WorkerClaim(new_claims))
+            self._context.cell_append_queue.add(WorkerClaim(new_claims))
 
     def _append_releases(self, worker_ids: list[WorkerId]) -> None:
         new_release_ids = [
@@ -143,7 +143,7 @@
         for worker_id in new_release_ids:
             # The worker gets no new task from now on, even before the release is read back.
             self._context.workers.remove(worker_id)
-        self._context.cell_appends.add(WorkerRelease(new_release_ids))
+        self._context.cell_append_queue.add(WorkerRelease(new_release_ids))
 
     def handle_own_records(self, claims: list[ClaimItem], releases: list[WorkerId]) -> None:
         """Handle this entry's claims and releases that were read back from the log.
@@ -152,7 +152,7 @@
         """
         self._pending_claim_worker_ids.difference_update(item.worker_id for item in claims)
         if not self._pending_claim_worker_ids:
-            self._context.claimed_from.clear()
+            self._context.takeover_pending_from.clear()
         self._pending_release_worker_ids.difference_update(releases)
 
     def _drop_lost(self) -> list[WorkerId]:
@@ -160,7 +160,7 @@
         lost_worker_ids = [
             worker.worker_id
             for worker in context.workers.workers.values()
-            if context.cell.holding_of(worker.worker_id).holder != context.identity.entry_id
+            if context.cell.ownership_of(worker.worker_id).holder != context.identity.entry_id
         ]
         for worker_id in lost_worker_ids:
             context.workers.remove(worker_id)
@@ -168,7 +168,7 @@
 
     def _attach_claimed(self, now: float) -> None:
         context = self._context
-        for worker_id, holding in context.cell.holdings.items():
+        for worker_id, holding in context.cell.ownerships.items():
             if holding.holder != context.identity.entry_id:
                 continue
             if worker_id in self._pending_release_worker_ids:
--- a/src/onyxspoke/core/peer_keeper.py
+++ b/src/onyxspoke/core/peer_keeper.py
@@ -32,7 +32,7 @@
         self._next_look_at = now + options.advertise_interval_seconds
         advertisement = self._make_advertisement(now)
         is_news = advertisement != self._last_sent
-        if is_news or now - self._last_sent_at >= options.advertise_silence_seconds:
+        if is_news or now - self._last_sent_at >= options.maximum_advertise_interval_seconds:
             self._last_sent = advertisement
             self._last_sent_at = now
             self._context.emit(advertisement)
@@ -47,10 +47,10 @@
         return AdvertiseCapacity(free, largest, context.settings.revision)
 
     def _drop_lapsed(self, now: float) -> None:
-        lapse_seconds = self._context.options.lease.lapse_seconds
+        member_timeout_seconds = self._context.options.lease.member_timeout_seconds
         for peer_id, peer in list(self._context.peers.peers.items()):
             member = self._context.cell.members.get(peer_id)
-            is_gone = member is None or now - member.seen_at > lapse_seconds
+            is_gone = member is None or now - member.last_seen_at > member_timeout_seconds
             if is_gone and not peer.connected:
                 del self._context.peers.peers[peer_id]
                 self._context.emit(DisconnectPeer(peer_id))
--- a/src/onyxspoke/core/planned_stop.py
+++ b/src/onyxspoke/core/planned_stop.py
@@ -5,13 +5,13 @@
 from onyxspoke.core.actions import StopCompleted
 from onyxspoke.core.context import EntryContext
 from onyxspoke.core.job_runner import JobRunner
-from onyxspoke.core.ownership_keeper import OwnershipKeeper
+from onyxspoke.core.ownership_manager import OwnershipManager
 
 
 class PlannedStop:
     """Leads an entry from the order to stop to the end of its process."""
 
-    def __init__(self, context: EntryContext, ownership: OwnershipKeeper, jobs: JobRunner) -> None:
+    def __init__(self, context: EntryContext, ownership: OwnershipManager, jobs: JobRunner) -> None:
         self._context = context
         self._ownership = ownership
         self._jobs = jobs
@@ -25,7 +25,7 @@
             return
         self._context.stopping = True
         # The others must know at once, or they would still leave workers to this entry.
-        self._context.cell_appends.stopping = True
+        self._context.cell_append_queue.stopping = True
         self._began_at = now
 
     def keep(self, now: float) -> None:
@@ -44,10 +44,10 @@
 
     def _is_busy(self, now: float) -> bool:
         # The balancer needs a moment to see the failed health check.
-        lingers = now < self._began_at + self._context.options.stop_linger_seconds
+        lingers = now < self._began_at + self._context.options.minimum_stop_seconds
         return lingers or bool(self._context.requests) or self._jobs.running_count > 0
 
     def _is_release_settled(self, now: float) -> bool:
         # The release only speeds up the takeover: without the log it is not waited for long.
         waited = now - self._released_at >= self._context.options.lease.lease_seconds
-        return waited or self._context.cell_appends.is_idle
+        return waited or self._context.cell_append_queue.is_idle
--- a/src/onyxspoke/core/settings_watch.py
+++ b/src/onyxspoke/core/settings_propagation.py
@@ -39,7 +39,7 @@
         """Append a change to the log, and wait for the verdict until the timeout."""
         expires_at = now + self._context.options.settings_change_timeout_seconds
         self._pending[apply.change_id] = PendingChange(apply, expires_at)
-        self._context.appends[LogStream.SETTINGS].add(apply)
+        self._context.append_queues[LogStream.SETTINGS].add(apply)
 
     def handle_read(self, change_id: str) -> None:
         """Handle a change that was read back from the log and is therefore decided."""
@@ -47,7 +47,7 @@
 
     def tick(self, now: float) -> None:
         """Report the changes whose timeout has passed as refused."""
-        appends = self._context.appends[LogStream.SETTINGS]
+        appends = self._context.append_queues[LogStream.SETTINGS]
         for change_id, pending in list(self._pending.items()):
             if now < pending.expires_at:
                 continue
@@ -58,7 +58,7 @@
             self._context.emit(SettingsRefused(change_id, code))
 
 
-class SettingsWatch:
+class SettingsPropagation:
     """Tracks which live peers have applied the changes that this entry submitted.
 
     Peers report their settings revision in their advertisements.  All times are read from
@@ -97,7 +97,7 @@
             awaited.missing_peers &= live_ids
         self._report_propagated(now)
 
-    def laggards(self, now: float) -> list[EntryId]:
+    def lagging_peers(self, now: float) -> list[EntryId]:
         """Return the live peers that have not applied this entry's settings revision."""
         revision = self._context.settings.revision
         return [
@@ -107,8 +107,8 @@
         ]
 
     def _live_peers(self, now: float) -> list[EntryId]:
-        lapse_seconds = self._context.options.lease.lapse_seconds
-        live_ids = self._context.cell.all_live_members(now, lapse_seconds)
+        member_timeout_seconds = self._context.options.lease.member_timeout_seconds
+        live_ids = self._context.cell.all_live_members(now, member_timeout_seconds)
         own_id = self._context.identity.entry_id
         return sorted(entry_id for entry_id in live_ids if entry_id != own_id)
 
--- a/src/onyxspoke/core/settings_tree.py
+++ b/src/onyxspoke/core/settings_tree.py
@@ -121,7 +121,7 @@
     return [*levels, ""]
 
 
-def find_fault(change: SettingChange) -> str:
+def find_schema_violation(change: SettingChange) -> str:
     """Return how a change violates the schema, or an empty string if the change is valid."""
     definition = SETTING_DEFINITIONS.get(change.key)
     if definition is None:
@@ -270,7 +270,7 @@
             if self.revision_of(change.path, change.key) != change.expected_revision:
                 winner = self._values.get((change.path, change.key))
                 return SettingsVerdict(False, offset, change, winner)
-            if find_fault(change):
+            if find_schema_violation(change):
                 return SettingsVerdict(False, offset, change)
         return SettingsVerdict(True, offset)
 
--- a/src/onyxspoke/core/snapshot_writer.py
+++ b/src/onyxspoke/core/snapshot_writer.py
@@ -47,13 +47,15 @@
         if now - self._last_snapshot_at < self._context.options.snapshot_interval_seconds:
             return
         context = self._context
-        live_member_ids = context.cell.all_live_members(now, context.options.lease.lapse_seconds)
+        live_member_ids = context.cell.all_live_members(
+            now, context.options.lease.member_timeout_seconds
+        )
         entry_id = context.identity.entry_id
         if preferred(f"snapshot-{self._stream.value}", live_member_ids) != entry_id:
             return
         self._last_snapshot_at = now
         self._snapshot_count += 1
         covers, data = self._capture()
-        appends = context.appends[self._stream]
+        appends = context.append_queues[self._stream]
         for part in split_snapshot(f"{entry_id}/{self._snapshot_count}", covers, data):
             appends.add(part)
