--- a/features/steps/differential_steps.py
+++ b/features/steps/differential_steps.py
@@ -156,9 +156,9 @@
             naive.write(offset, writer, claims, releases)
         cell = replay(make_batches(drawn))
         for worker in ("w1", "w2", "w3"):
-            holding = cell.ownership_of(worker)
-            assert holding.holder == (naive.holders.get(worker) or "")
-            assert holding.epoch == naive.epochs.get(worker, 0)
+            ownership = cell.ownership_of(worker)
+            assert ownership.holder == (naive.holders.get(worker) or "")
+            assert ownership.epoch == naive.epochs.get(worker, 0)
 
     check()
 
--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -72,8 +72,8 @@
     """A durable job.
 
     ``answer`` is ``None`` until the job has ended.  ``runner`` is empty while the job is
-    released.  ``started_indexes`` has the indexes of the tasks of an unrepeatable job that may have
-    been started.
+    released.  ``started_indexes`` has the indexes of the tasks of an unrepeatable job that
+    may have been started.
     """
 
     job: JobSubmission
@@ -168,8 +168,8 @@
             for member in self.members.values()
         ]
         ownerships = [
-            OwnershipState(worker_id, holding.holder, holding.epoch)
-            for worker_id, holding in self.ownerships.items()
+            OwnershipState(worker_id, ownership.holder, ownership.epoch)
+            for worker_id, ownership in self.ownerships.items()
         ]
         keys = [
             KeyState(key, key_ownership.holder, key_ownership.fingerprint)
@@ -234,7 +234,9 @@
 
     def remove_expired_members(self, now: float, member_retention_seconds: float) -> None:
         """Remove members that own nothing and have been silent for the retention time."""
-        holders = {holding.holder for holding in self.ownerships.values()} | self.open_jobs.keys()
+        holders = {
+            ownership.holder for ownership in self.ownerships.values()
+        } | self.open_jobs.keys()
         expired_member_ids = [
             member.entry_id
             for member in self.members.values()
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -59,7 +59,7 @@
         pending_changes: PendingChanges,
     ) -> None:
         self._pending_changes = pending_changes
-        self._settings_watch = settings_propagation
+        self._settings_propagation = settings_propagation
         self._context = context
         self._ownership = ownership
         self._keys = keys
@@ -182,7 +182,7 @@
         self._pending_changes.handle_read(record.change_id)
         verdict = self._context.settings.verdict(record.change_id)
         if verdict is not None and verdict.accepted:
-            self._settings_watch.handle_accepted(verdict.revision, now)
+            self._settings_propagation.handle_accepted(verdict.revision, now)
         self._context.emit(SettingsDecided(record.change_id))
 
     @property
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -111,10 +111,10 @@
 def _make_claim_if_expired(
     cell: CellState, worker_id: WorkerId, now: float, options: LeaseOptions
 ) -> ClaimItem | None:
-    holding = cell.ownership_of(worker_id)
-    holder = cell.members.get(holding.holder)
+    ownership = cell.ownership_of(worker_id)
+    holder = cell.members.get(ownership.holder)
     if holder is None:
-        return ClaimItem(worker_id, holding.epoch, 0)
+        return ClaimItem(worker_id, ownership.epoch, 0)
     if now - holder.last_seen_at <= options.member_timeout_seconds:
         return None
-    return ClaimItem(worker_id, holding.epoch, holder.last_offset)
+    return ClaimItem(worker_id, ownership.epoch, holder.last_offset)
--- a/src/onyxspoke/core/ownership_manager.py
+++ b/src/onyxspoke/core/ownership_manager.py
@@ -168,16 +168,16 @@
 
     def _attach_claimed(self, now: float) -> None:
         context = self._context
-        for worker_id, holding in context.cell.ownerships.items():
-            if holding.holder != context.identity.entry_id:
+        for worker_id, ownership in context.cell.ownerships.items():
+            if ownership.holder != context.identity.entry_id:
                 continue
             if worker_id in self._pending_release_worker_ids:
                 continue
             machine = context.machines.get(worker_id)
             owned = context.workers.workers.get(worker_id)
-            if machine is None or (owned is not None and owned.epoch == holding.epoch):
+            if machine is None or (owned is not None and owned.epoch == ownership.epoch):
                 continue
-            self._attach(context.workers.add(machine, holding.epoch), now)
+            self._attach(context.workers.add(machine, ownership.epoch), now)
 
     def _attach(self, worker: OwnedWorker, now: float) -> None:
         worker.attach_sent_at = now
