--- a/src/onyxspoke/core/__init__.py
+++ b/src/onyxspoke/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decision logic: events in, typed actions out; no I/O, clock or random source."""
+"""Scheduling decisions: events in, typed actions out; no I/O, clock or random source."""
--- a/src/onyxspoke/core/holdover.py
+++ b/src/onyxspoke/core/holdover.py
@@ -1,8 +1,8 @@
-"""Holding over while the log is away: zone peers promise not to take over.
+"""Holdover: extends this entry's lease while the log is unavailable.
 
-Only entries of the same zone may claim this entry's workers or adopt its jobs.  If each
-of them promises not to for a lease from now, the lease may go on without the log.
-A member that cannot be reached promises nothing, and the lease then lapses.
+Only entries of the same zone may claim this entry's workers or adopt its jobs.  If every
+one of them promises not to do so until the extended lease has ended, the lease may be
+extended without the log.  An unreachable member gives no promise, so the lease expires.
 """
 
 from __future__ import annotations
@@ -11,43 +11,43 @@
 from onyxspoke.core.context import EntryContext
 from onyxspoke.core.schema import EntryId
 
-_BEGIN_AT_LEASE_SHARE = 0.7
+_START_BELOW_LEASE_FRACTION = 0.7
 _ROUNDS_PER_LEASE = 5
 
 
 class HoldoverKeeper:
-    """Asks for promises when the lease runs short, and gives them."""
+    """Requests promises from zone peers as its lease runs out, and grants promises to them."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
         self._round_number = 0
-        self._round_began_at = float("-inf")
-        self._missing: set[EntryId] = set()
+        self._round_started_at = float("-inf")
+        self._peers_without_promise: set[EntryId] = set()
 
     def keep(self, now: float) -> None:
-        """Begin a round of requests if the lease runs short without the log."""
+        """Start a round of requests if the lease is about to expire without the log."""
         context = self._context
         lease_seconds = context.options.lease.lease_seconds
         remaining = context.lease_until - now
-        if not 0 < remaining < lease_seconds * _BEGIN_AT_LEASE_SHARE:
+        if not 0 < remaining < lease_seconds * _START_BELOW_LEASE_FRACTION:
             return
-        if now - self._round_began_at < lease_seconds / _ROUNDS_PER_LEASE:
+        if now - self._round_started_at < lease_seconds / _ROUNDS_PER_LEASE:
             return
         self._round_number += 1
-        self._round_began_at = now
-        self._missing = set(self._zone_members())
-        for peer_id in sorted(self._missing):
+        self._round_started_at = now
+        self._peers_without_promise = set(self._zone_members())
+        for peer_id in sorted(self._peers_without_promise):
             context.emit(RequestHoldover(peer_id, self._round_number))
         self._extend_if_complete()
 
     def handle_grant(self, peer_id: EntryId, round_number: int) -> None:
-        """Take a promise; the round counts from when it began, not from the promise."""
-        if round_number == self._round_number and peer_id in self._missing:
-            self._missing.discard(peer_id)
+        """Record a promise; the lease is extended from the start of its round."""
+        if round_number == self._round_number and peer_id in self._peers_without_promise:
+            self._peers_without_promise.discard(peer_id)
             self._extend_if_complete()
 
     def handle_request(self, peer_id: EntryId, round_number: int, now: float) -> None:
-        """Promise a peer to claim nothing of its own, unless a claim is on its way."""
+        """Promise not to claim a peer's workers or jobs, unless a claim is being recorded."""
         context = self._context
         if peer_id in context.claimed_from:
             return
@@ -55,21 +55,21 @@
         context.emit(GrantHoldover(peer_id, round_number))
 
     def _zone_members(self) -> list[EntryId]:
-        """Return the members of the zone that had not lapsed when the log was last read."""
+        """Return the other zone members that were live at the last read of the log."""
         context = self._context
-        horizon = context.log_read_at - context.options.lease.lapse_seconds
+        oldest_live_seen_at = context.log_read_at - context.options.lease.lapse_seconds
         return [
             member.entry_id
             for member in context.cell.members.values()
             if member.zone == context.identity.zone
             and member.entry_id != context.identity.entry_id
-            and member.seen_at > horizon
+            and member.seen_at > oldest_live_seen_at
             and not member.stopping
         ]
 
     def _extend_if_complete(self) -> None:
-        if self._missing:
+        if self._peers_without_promise:
             return
         context = self._context
-        lease_until = self._round_began_at + context.options.lease.lease_seconds
+        lease_until = self._round_started_at + context.options.lease.lease_seconds
         context.lease_until = max(context.lease_until, lease_until)
--- a/src/onyxspoke/core/job_acceptance.py
+++ b/src/onyxspoke/core/job_acceptance.py
@@ -1,4 +1,4 @@
-"""Durable batch jobs are accepted once their record is in the log."""
+"""Acceptance of durable batch jobs: a job is accepted once its record is in the log."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class PendingAcceptance:
-    """A job whose record is on its way to the log, and the callers who wait for that."""
+    """A job whose record is being appended to the log, and the requests that await it."""
 
     record: JobAccepted
     deadline: float
@@ -20,49 +20,49 @@
 
 
 class JobAcceptance:
-    """Records submitted jobs and answers their submitters."""
+    """Records submitted jobs in the log and answers the requests that submitted them."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
-        self._acceptances: dict[JobId, PendingAcceptance] = {}
+        self._pending_acceptances: dict[JobId, PendingAcceptance] = {}
 
     def submit(self, request_id: str, job: JobSubmission, deadline: float) -> Answer | None:
-        """Record a job; return the answer if it is known at once.
+        """Record a job; return the answer if it is known immediately, else ``None``.
 
-        Otherwise the caller is answered when the record is read back.  A job that is
-        submitted again under its key is recorded once.
+        After ``None``, the caller is answered when the record is read back from the log.
+        A job that is submitted again under the same key is recorded only once.
         """
-        known = self._context.cell.jobs.get(job.job_id)
-        if known is not None:
-            return _acceptance_of(job, known.job)
-        pending = self._acceptances.get(job.job_id)
+        recorded_job = self._context.cell.jobs.get(job.job_id)
+        if recorded_job is not None:
+            return _submission_answer(job, recorded_job.job)
+        pending = self._pending_acceptances.get(job.job_id)
         if pending is not None and pending.record.job != job:
             return Answer(code=ResultCode.KEY_REUSED)
         if pending is not None:
             pending.request_ids.append(request_id)
             return None
         record = JobAccepted(job)
-        self._acceptances[job.job_id] = PendingAcceptance(record, deadline, [request_id])
+        self._pending_acceptances[job.job_id] = PendingAcceptance(record, deadline, [request_id])
         self._context.cell_appends.add(record)
         return None
 
     def handle_read(self, job_id: JobId) -> list[tuple[str, Answer]]:
-        """Return the answers of who waited for a record that was read back."""
+        """Return the answers to the requests that awaited the record just read back."""
         entry = self._context.cell.jobs.get(job_id)
-        pending = self._acceptances.pop(job_id, None)
+        pending = self._pending_acceptances.pop(job_id, None)
         if pending is None or entry is None:
             return []
-        answer = _acceptance_of(pending.record.job, entry.job)
+        answer = _submission_answer(pending.record.job, entry.job)
         return [(request_id, answer) for request_id in pending.request_ids]
 
     def give_up(self, now: float) -> list[tuple[str, Answer]]:
-        """Return final answers for submissions that the log did not take in time.
+        """Return final answers for submissions that were not recorded in time.
 
-        A record that was never sent is withdrawn, and the job is known not to run; but
-        one with a key may have been accepted through another entry.
+        A record that was never sent is withdrawn, so this entry does not run the job.
+        A job with an idempotency key may still have been accepted by another entry.
         """
         answers: list[tuple[str, Answer]] = []
-        for job_id, pending in list(self._acceptances.items()):
+        for job_id, pending in list(self._pending_acceptances.items()):
             if now < pending.deadline and not self._context.log_is_down(now):
                 continue
             if self._context.cell_appends.withdraw(pending.record):
@@ -74,13 +74,13 @@
                 answer = Answer(code=ResultCode.LOG_ANSWER_LOST)
             else:
                 continue
-            del self._acceptances[job_id]
+            del self._pending_acceptances[job_id]
             answers.extend((request_id, answer) for request_id in pending.request_ids)
         return answers
 
 
-def _acceptance_of(submitted: JobSubmission, recorded: JobSubmission) -> Answer:
-    """Return what the submitter of a job is told, given the one on record under its name."""
+def _submission_answer(submitted: JobSubmission, recorded: JobSubmission) -> Answer:
+    """Return the answer to a submission, given the job recorded under the same ID."""
     if submitted == recorded:
         return Answer(code=ResultCode.ACCEPTED)
     return Answer(code=ResultCode.KEY_REUSED)
--- a/src/onyxspoke/core/job_recovery.py
+++ b/src/onyxspoke/core/job_recovery.py
@@ -1,8 +1,9 @@
-"""Jobs taken over from another entry: find what still runs before anything runs again.
+"""Recovery of adopted jobs: finds the tasks that still run before it starts any again.
 
-After an adoption is read back, a full lease has to pass: by then no entry that could still
-start a task for the old runner holds a lease without having read the adoption.  Then the
-owners of all workers of the zone say what runs.  Only what runs nowhere is run again.
+After an adoption is read back, the member timeout has to pass: by then no entry that could
+start a task for the previous runner holds a lease without having read the adoption.  Then
+the owners of all workers in the zone report the tasks that run on them.  Only tasks that
+run on no worker are started again.
 """
 
 from __future__ import annotations
@@ -18,10 +19,10 @@
 
 @dataclass(slots=True)
 class ProbeRound:
-    """One round of questions to the owners of the zone's workers."""
+    """One round of probes to the owners of the zone's workers."""
 
     number: int
-    began_at: float
+    started_at: float
     job_ids: list[JobId]
     waiting: set[EntryId]
     workers: set[WorkerId] = field(default_factory=set)
@@ -29,43 +30,48 @@
 
 
 class JobRecovery:
-    """Finds out which tasks of adopted jobs still run."""
+    """Determines which tasks of adopted jobs still run."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
-        self._not_before: dict[JobId, float] = {}
-        self._round: ProbeRound | None = None
+        self._probe_not_before: dict[JobId, float] = {}
+        self._current_round: ProbeRound | None = None
         self._round_counter = 0
 
     def begin(self, job_id: JobId, now: float) -> None:
-        """Start to recover a job whose adoption was read back."""
-        self._not_before[job_id] = now + self._context.options.lease.lapse_seconds
+        """Schedule the recovery of a job, after the member timeout."""
+        self._probe_not_before[job_id] = now + self._context.options.lease.lapse_seconds
 
     def forget(self, job_id: JobId) -> None:
-        """Stop to recover a job that another entry has taken, or that ended."""
-        self._not_before.pop(job_id, None)
+        """Cancel the recovery of a job that another entry has adopted, or that ended."""
+        self._probe_not_before.pop(job_id, None)
 
     def is_recovering(self, job_id: JobId) -> bool:
-        """Return whether it is not yet known what of a job still runs."""
-        return job_id in self._not_before
+        """Return whether the running tasks of a job are still being determined."""
+        return job_id in self._probe_not_before
 
     def keep(self, now: float) -> None:
-        """Begin a round of probes if jobs are due and none is under way."""
-        if self._round is not None and now - self._round.began_at < PROBE_INTERVAL_SECONDS:
+        """Start a round of probes if jobs are due and the last round is old enough."""
+        if (
+            self._current_round is not None
+            and now - self._current_round.started_at < PROBE_INTERVAL_SECONDS
+        ):
             return
-        due = sorted(job_id for job_id, moment in self._not_before.items() if now >= moment)
-        self._round = None
-        if not due or not self._context.holds_lease(now):
+        due_job_ids = sorted(
+            job_id for job_id, not_before in self._probe_not_before.items() if now >= not_before
+        )
+        self._current_round = None
+        if not due_job_ids or not self._context.holds_lease(now):
             return
         self._round_counter += 1
-        peers = self._zone_peers(now)
-        self._round = ProbeRound(self._round_counter, now, due, set(peers))
+        peers = self._zone_peer_ids(now)
+        self._current_round = ProbeRound(self._round_counter, now, due_job_ids, set(peers))
         for peer_id in peers:
-            self._context.emit(ProbeJobs(peer_id, self._round_counter, due))
+            self._context.emit(ProbeJobs(peer_id, self._round_counter, due_job_ids))
 
     def answer_probe(self, peer_id: EntryId, probe_id: int, job_ids: list[JobId]) -> None:
-        """Tell a peer what runs on the workers that this entry owns."""
-        workers, running = self._own_knowledge(set(job_ids))
+        """Report to a peer the tasks that run on the workers owned by this entry."""
+        workers, running = self._own_workers_and_running_tasks(set(job_ids))
         self._context.emit(AnswerProbe(peer_id, probe_id, workers, running))
 
     def handle_reply(
@@ -75,8 +81,8 @@
         worker_ids: list[WorkerId],
         running: list[TaskName],
     ) -> None:
-        """Take a peer's word."""
-        probe = self._round
+        """Record a peer's reply to the current round of probes."""
+        probe = self._current_round
         if probe is None or probe.number != probe_id or peer_id not in probe.waiting:
             return
         probe.waiting.discard(peer_id)
@@ -84,26 +90,28 @@
         probe.running.update(running)
 
     def take_recovered(self) -> dict[JobId, set[int]]:
-        """Return the jobs of a complete round with the indexes of the tasks that run."""
-        probe = self._round
+        """Return the jobs of a complete round, each with the indexes of its running tasks."""
+        probe = self._current_round
         if probe is None or probe.waiting:
             return {}
-        workers, own_running = self._own_knowledge(set(probe.job_ids))
-        if not self._zone_workers() <= probe.workers | set(workers):
-            return {}  # Some worker has no owner yet; it may run a task. Ask again later.
-        self._round = None
+        workers, own_running = self._own_workers_and_running_tasks(set(probe.job_ids))
+        if not self._zone_worker_ids() <= probe.workers | set(workers):
+            return {}  # A worker without an owner may run a task; a later round probes again.
+        self._current_round = None
         recovered: dict[JobId, set[int]] = {
-            job_id: set() for job_id in probe.job_ids if job_id in self._not_before
+            job_id: set() for job_id in probe.job_ids if job_id in self._probe_not_before
         }
         for name in probe.running | set(own_running):
             job_id, index = split_task_name(name)
             if job_id in recovered:
                 recovered[job_id].add(index)
         for job_id in recovered:
-            del self._not_before[job_id]
+            del self._probe_not_before[job_id]
         return recovered
 
-    def _own_knowledge(self, job_ids: set[JobId]) -> tuple[list[WorkerId], list[TaskName]]:
+    def _own_workers_and_running_tasks(
+        self, job_ids: set[JobId]
+    ) -> tuple[list[WorkerId], list[TaskName]]:
         attached = [worker for worker in self._context.workers.workers.values() if worker.is_known]
         running = [
             task.task_name
@@ -113,14 +121,14 @@
         ]
         return [worker.worker_id for worker in attached], running
 
-    def _zone_workers(self) -> set[WorkerId]:
+    def _zone_worker_ids(self) -> set[WorkerId]:
         zone = self._context.identity.zone
         return {
             machine.worker_id for machine in self._context.machines.values() if machine.zone == zone
         }
 
-    def _zone_peers(self, now: float) -> list[EntryId]:
-        """Return the zone's entries that may own workers, reachable or not."""
+    def _zone_peer_ids(self, now: float) -> list[EntryId]:
+        """Return the other entries of the zone that may own workers, reachable or not."""
         context = self._context
         lapse_seconds = context.options.lease.lapse_seconds
         return sorted(
--- a/src/onyxspoke/core/job_runner.py
+++ b/src/onyxspoke/core/job_runner.py
@@ -1,4 +1,4 @@
-"""Runs durable batch jobs task by task, adopts those of lapsed runners, records their end."""
+"""Runs durable batch jobs, adopts jobs of runners that timed out, and records job ends."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class JobProgress:
-    """A job that this entry runs; ``launched`` holds the tasks that it queued or found."""
+    """A job that this entry runs; ``launched`` holds the tasks queued or found running."""
 
     entry: JobEntry
     launched: set[int] = field(default_factory=set)
@@ -40,13 +40,13 @@
 
 
 class JobRunner:
-    """Runs the tasks of jobs and records the jobs' answers."""
+    """Runs the tasks of durable jobs and records the answer of each job."""
 
     def __init__(self, context: EntryContext, dispatcher: RequestDispatcher) -> None:
         self._context = context
         self._dispatcher = dispatcher
         self._running: dict[JobId, JobProgress] = {}
-        self._adoptions: set[JobId] = set()
+        self._pending_adoptions: set[JobId] = set()
         self.recovery = JobRecovery(context)
 
     @property
@@ -55,13 +55,13 @@
         return len(self._running)
 
     def handle_accepted_read(self, job_id: JobId, now: float) -> None:
-        """Start a job whose record was read back, if it is ours."""
+        """Start a job whose record was read back, if this entry is its runner."""
         entry = self._context.cell.jobs.get(job_id)
-        if entry is not None and self._runs(entry) and job_id not in self._running:
+        if entry is not None and self._is_runner(entry) and job_id not in self._running:
             self._start(entry, now)
 
     def handle_task_answer(self, origin: JobOrigin, answer: Answer) -> None:
-        """Take the answer of one task; record the job's end with the last one."""
+        """Store the answer of one task; record the job's end after its last task."""
         progress = self._running.get(origin.job_id)
         if progress is None:
             self._pass_on(origin, answer)
@@ -71,29 +71,29 @@
             return
         del self._running[origin.job_id]
         self.recovery.forget(origin.job_id)
-        self._context.cell_appends.add(JobEnded(origin.job_id, _combine(progress)))
+        self._context.cell_appends.add(JobEnded(origin.job_id, _combine_answers(progress)))
 
     def handle_start_read(self, record: TaskStarting, now: float) -> None:
-        """Queue a task whose start is on record, if the job is still ours."""
+        """Queue a task whose start is recorded, if this entry still runs the job."""
         request = self._context.requests.get(make_task_name(record.job_id, record.task_index))
         if request is None or request.state is not RequestState.WAITING_FOR_LOG:
             return
-        if self._runs(self._context.cell.jobs.get(record.job_id)):
+        if self._is_runner(self._context.cell.jobs.get(record.job_id)):
             self._dispatcher.place_or_queue(request, now)
 
     def handle_adoption_read(self, job_id: JobId, now: float) -> None:
-        """Recover a job, if the own adoption was accepted."""
-        self._adoptions.discard(job_id)
+        """Recover a job if the log shows that this entry's adoption of it took effect."""
+        self._pending_adoptions.discard(job_id)
         entry = self._context.cell.jobs.get(job_id)
-        if entry is None or not self._runs(entry) or job_id in self._running:
+        if entry is None or not self._is_runner(entry) or job_id in self._running:
             return
         self._running[job_id] = JobProgress(entry)
         self.recovery.begin(job_id, now)
 
     def drop_lost(self) -> None:
-        """Forget the jobs that another entry has adopted."""
+        """Drop the jobs that ended or that another entry has adopted."""
         for job_id, progress in list(self._running.items()):
-            if progress.entry.answer is None and self._runs(progress.entry):
+            if progress.entry.answer is None and self._is_runner(progress.entry):
                 continue
             del self._running[job_id]
             self.recovery.forget(job_id)
@@ -103,7 +103,7 @@
                     self._dispatcher.abandon(request)
 
     def look_for_tasks_on(self, worker_id: WorkerId, now: float) -> None:
-        """Recover the tasks on a worker that another entry owns and we no longer hear."""
+        """Recover the job tasks on a worker that another entry now owns."""
         for request in list(self._context.attempts.values()):
             origin = request.origin
             if request.worker_id != worker_id or not isinstance(origin, JobOrigin):
@@ -115,14 +115,14 @@
                 self.recovery.begin(origin.job_id, now)
 
     def keep(self, now: float) -> None:
-        """Adopt the jobs of lapsed runners, and go on with recoveries."""
+        """Adopt jobs of runners that timed out, and continue the recoveries."""
         if not self._context.stopping:
             self._adopt(now)
         self.recovery.keep(now)
         self.continue_recovered(now)
 
     def continue_recovered(self, now: float) -> None:
-        """Run what the last complete round of probes found running nowhere."""
+        """Start the tasks that no worker ran in the last complete round of probes."""
         for job_id, still_running in self.recovery.take_recovered().items():
             progress = self._running[job_id]
             progress.launched |= still_running
@@ -130,19 +130,19 @@
                 if index in progress.answers or index in progress.launched:
                     continue
                 if index in progress.entry.started:
-                    # It may have run to its end on a worker whose word was lost.
+                    # The task may have finished on a worker whose report was lost.
                     self.handle_task_answer(
                         JobOrigin(job_id, index), Answer(code=ResultCode.WORKER_LOST)
                     )
                 else:
                     self._launch(progress, index, now)
             if still_running - progress.answers.keys():
-                # Their answers come from their workers' owners; look again for lost ones.
+                # The owners of their workers send the answers; probe again in case one is lost.
                 progress.launched -= still_running
                 self.recovery.begin(job_id, now)
 
     def release_unsent(self) -> None:
-        """Hand over, as part of a planned stop, the jobs of which nothing was sent."""
+        """Release, during a planned stop, the jobs of which no task was sent."""
         for job_id, progress in list(self._running.items()):
             if progress.answers or self.recovery.is_recovering(job_id):
                 continue
@@ -157,7 +157,7 @@
             self._context.cell_appends.add(JobReleased(job_id))
 
     def cancel(self, job_id: JobId, now: float) -> bool:
-        """Stop the tasks of a job that this entry runs; return whether it does."""
+        """Cancel the tasks of a job; return whether this entry runs the job."""
         progress = self._running.get(job_id)
         if progress is None:
             return False
@@ -167,13 +167,13 @@
                 self._dispatcher.cancel(request, now)
         return True
 
-    def _runs(self, entry: JobEntry | None) -> bool:
+    def _is_runner(self, entry: JobEntry | None) -> bool:
         return entry is not None and entry.runner == self._context.identity.entry_id
 
     def _pass_on(self, origin: JobOrigin, answer: Answer) -> None:
-        """Pass an answer to the entry that runs the job now."""
+        """Pass a task's answer to the entry that runs the job now."""
         entry = self._context.cell.jobs.get(origin.job_id)
-        if entry is None or entry.answer is not None or not entry.runner or self._runs(entry):
+        if entry is None or entry.answer is not None or not entry.runner or self._is_runner(entry):
             return
         name = make_task_name(origin.job_id, origin.task_index)
         self._context.emit(PassTaskAnswer(entry.runner, name, answer))
@@ -186,12 +186,12 @@
             return
         for runner, entries in context.cell.open_jobs.items():
             member = context.cell.members.get(runner)
-            lapsed = member is None or now - member.seen_at > lapse_seconds
-            if not lapsed or now < context.promised_until.get(runner, now):
+            timed_out = member is None or now - member.seen_at > lapse_seconds
+            if not timed_out or now < context.promised_until.get(runner, now):
                 continue
             offset = 0 if member is None else member.last_offset
             for job_id, entry in entries.items():
-                if entry.zone == context.identity.zone and job_id not in self._adoptions:
+                if entry.zone == context.identity.zone and job_id not in self._pending_adoptions:
                     self._adopt_if_preferred(job_id, runner, offset, live)
 
     def _adopt_if_preferred(
@@ -199,7 +199,7 @@
     ) -> None:
         if preferred(job_id, live) != self._context.identity.entry_id:
             return
-        self._adoptions.add(job_id)
+        self._pending_adoptions.add(job_id)
         self._context.claimed_from.add(runner)
         self._context.cell_appends.add(JobAdopted(job_id, runner, offset))
 
@@ -210,7 +210,7 @@
             self._launch(progress, index, now)
 
     def _launch(self, progress: JobProgress, index: int, now: float) -> None:
-        """Queue one task; the start of an unrepeatable one is recorded first."""
+        """Queue one task; the start of an unrepeatable task is recorded in the log first."""
         job = progress.entry.job
         name = make_task_name(job.job_id, index)
         progress.launched.add(index)
@@ -229,8 +229,8 @@
             self._context.cell_appends.add(TaskStarting(job.job_id, index))
 
 
-def _combine(progress: JobProgress) -> Answer:
-    """Return the answer of a whole job: the results in order, or the first that failed."""
+def _combine_answers(progress: JobProgress) -> Answer:
+    """Return a job's answer: its task results in order, or the first failed task's answer."""
     answers = [progress.answers[index] for index in range(progress.entry.job.task_count)]
     for answer in answers:
         if answer.code is not ResultCode.OK:
--- a/src/onyxspoke/core/key_guard.py
+++ b/src/onyxspoke/core/key_guard.py
@@ -1,7 +1,8 @@
-"""At most once for unrepeatable requests that carry an idempotency key.
+"""At-most-once execution of unrepeatable requests that carry an idempotency key.
 
-The entry appends an intent and dispatches only after reading it back: the log's order
-decides which entry runs a key, and every other entry asks that one for the answer.
+An entry appends an intent to the log and dispatches the request only after reading the
+intent back.  The order of the log decides which entry holds the key and runs its request;
+every other entry asks the holder for the answer.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def fingerprint_of(request: TaskRequest) -> int:
-    """Return a hash that tells two requests under one key apart."""
+    """Return a hash that distinguishes different requests under the same key."""
     digest = xxhash.xxh3_64()
     for part in (request.tenant, request.task_class.service, request.task_class.name):
         digest.update(part.encode())
@@ -29,20 +30,20 @@
 
 
 def scoped_key(request: TaskRequest) -> str:
-    """Return the key as the log knows it; tenants do not share keys."""
+    """Return the key prefixed with its tenant, as recorded in the log."""
     return f"{request.tenant}/{request.idempotency_key}"
 
 
 class KeyGuard:
-    """Admits each key once and answers its repetitions."""
+    """Runs one request for each key and answers repeated requests."""
 
     def __init__(self, context: EntryContext, dispatcher: RequestDispatcher) -> None:
         self._context = context
         self._dispatcher = dispatcher
-        self._intents: dict[str, KeyIntent] = {}
+        self._pending_intents: dict[str, KeyIntent] = {}
 
     def admit(self, request: ActiveRequest, now: float) -> None:
-        """Take a keyed request: run it, join the run in progress, or repeat the answer."""
+        """Admit a keyed request: run it, join the run in progress, or repeat the answer."""
         key = scoped_key(request.request)
         fingerprint = fingerprint_of(request.request)
         run = self._context.ledger.get(key)
@@ -60,21 +61,21 @@
             self._record_intent(request, key, fingerprint)
 
     def handle_intent_read(self, intent: KeyIntent, now: float) -> None:
-        """The own intent was read back: run the request if the key is ours."""
-        self._intents.pop(intent.key, None)
+        """Run the request of an intent just read back, if this entry holds the key."""
+        self._pending_intents.pop(intent.key, None)
         entry = self._context.cell.keys.get(intent.key)
         run = self._context.ledger.get(intent.key)
         is_holder = entry is not None and entry.holder == self._context.identity.entry_id
         request = None if run is None else self._context.requests.get(run.request_id)
         if request is None:
-            self._clean_up_unused_intent(intent.key, run, is_holder=is_holder)
+            self._release_unused_key(intent.key, run, is_holder=is_holder)
         elif is_holder:
             self._dispatcher.place_or_queue(request, now)
         elif entry is not None:
             self._yield_to_holder(request, intent, entry.holder, now)
 
     def handle_query(self, peer_id: EntryId, request_id: str, key: str) -> Answer | None:
-        """Return the answer under a key for a peer, or ``None`` while it is in progress."""
+        """Return the answer of a key to a peer, or ``None`` while its run is in progress."""
         run = self._context.ledger.get(key)
         if run is None:
             return Answer(code=ResultCode.KEY_HOLDER_UNREACHABLE)
@@ -83,7 +84,7 @@
         return run.answer
 
     def handle_answer(self, request: ActiveRequest, answer: Answer) -> list[KeyWaiter]:
-        """Remember the answer of a request that ran under a key; return who else waits."""
+        """Store the answer of a request that ran under a key; return the other waiters."""
         key = scoped_key(request.request)
         run = self._context.ledger.get(key)
         if run is None or run.request_id != request.request_id or run.answer is not None:
@@ -94,10 +95,10 @@
         return waiters
 
     def refuse_while_log_is_down(self, now: float) -> None:
-        """Give up the requests whose intent cannot be recorded; this entry did not run them."""
-        if not self._intents or not self._context.log_is_down(now):
+        """Refuse the requests whose intent cannot be recorded; this entry did not run them."""
+        if not self._pending_intents or not self._context.log_is_down(now):
             return
-        for key in list(self._intents):
+        for key in list(self._pending_intents):
             run = self._context.ledger.get(key)
             request = None if run is None else self._context.requests.get(run.request_id)
             if request is not None and request.state is RequestState.WAITING_FOR_LOG:
@@ -107,7 +108,7 @@
         request.transition(RequestState.WAITING_FOR_LOG)
         self._context.ledger.begin(key, request.request_id, fingerprint)
         intent = KeyIntent(key, fingerprint)
-        self._intents[key] = intent
+        self._pending_intents[key] = intent
         self._context.cell_appends.add(intent)
 
     def _join(self, request: ActiveRequest, run: KeyRun, fingerprint: int, now: float) -> None:
@@ -138,8 +139,8 @@
         else:
             self._ask_holder(request, intent.key, holder, now)
 
-    def _clean_up_unused_intent(self, key: str, run: KeyRun | None, *, is_holder: bool) -> None:
-        """Free a key whose request was given up before the intent was read."""
+    def _release_unused_key(self, key: str, run: KeyRun | None, *, is_holder: bool) -> None:
+        """Release a key whose request was answered before its intent was read back."""
         if run is None or run.answer is None or not _did_not_run(run.answer):
             return
         self._context.ledger.forget(key)
@@ -147,10 +148,10 @@
             self._context.cell_appends.add(KeyRelease(key))
 
     def _release(self, key: str) -> None:
-        intent = self._intents.get(key)
+        intent = self._pending_intents.get(key)
         if intent is not None and not self._context.cell_appends.withdraw(intent):
-            return  # The intent is on its way; it is cleaned up when it is read back.
-        self._intents.pop(key, None)
+            return  # The intent was sent already; reading it back releases the key.
+        self._pending_intents.pop(key, None)
         self._context.ledger.forget(key)
         if intent is None:
             self._context.cell_appends.add(KeyRelease(key))
@@ -160,5 +161,5 @@
 
 
 def _did_not_run(answer: Answer) -> bool:
-    """Return whether an answer means that this entry, as holder of the key, ran nothing."""
+    """Return whether an answer shows that this entry did not run the key's request."""
     return answer.outcome is OutcomeKind.NOT_RUN or answer.code is ResultCode.KEY_STATE_UNKNOWN
--- a/src/onyxspoke/core/key_ledger.py
+++ b/src/onyxspoke/core/key_ledger.py
@@ -1,4 +1,4 @@
-"""Answers of unrepeatable requests by idempotency key, at the entry that holds the key."""
+"""Stores answers of unrepeatable requests by idempotency key, at the key's holder."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyWaiter:
-    """Someone who asked for the answer of a key that is in progress."""
+    """A request that waits for the answer of a key's run in progress."""
 
     request_id: str
     origin: RequestOrigin
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class KeyRun:
-    """One run under a key; ``answer`` is ``None`` while it is in progress."""
+    """One run under a key; ``answer`` is ``None`` while the run is in progress."""
 
     request_id: str
     fingerprint: int
@@ -28,35 +28,35 @@
 
 
 class KeyLedger:
-    """Bounded memory of key runs; only ended runs are ever forgotten."""
+    """Key runs in memory; beyond a limit, the run that ended first is evicted."""
 
     def __init__(self, maximum_ended: int) -> None:
         self._maximum_ended = maximum_ended
         self._runs: dict[str, KeyRun] = {}
-        self._ended: OrderedDict[str, None] = OrderedDict()
+        self._ended_keys: OrderedDict[str, None] = OrderedDict()
 
     def get(self, key: str) -> KeyRun | None:
-        """Return the run under a key, if it is remembered."""
+        """Return the run under a key, or ``None`` if none is stored."""
         return self._runs.get(key)
 
     def begin(self, key: str, request_id: str, fingerprint: int) -> KeyRun:
-        """Remember that a request is in progress under a key."""
+        """Store a new run of a request under a key."""
         run = KeyRun(request_id, fingerprint)
         self._runs[key] = run
         return run
 
     def finish(self, key: str, answer: Answer) -> list[KeyWaiter]:
-        """Remember the answer and return who waited for it."""
+        """Store the answer of a run and return its waiters."""
         run = self._runs[key]
         run.answer = answer
         waiters, run.waiters = run.waiters, []
-        self._ended[key] = None
-        if len(self._ended) > self._maximum_ended:
-            oldest, _ = self._ended.popitem(last=False)
+        self._ended_keys[key] = None
+        if len(self._ended_keys) > self._maximum_ended:
+            oldest, _ = self._ended_keys.popitem(last=False)
             del self._runs[oldest]
         return waiters
 
     def forget(self, key: str) -> None:
-        """Forget a run, so that the key may be used afresh."""
+        """Remove a run, so that a new request may use the key."""
         self._runs.pop(key, None)
-        self._ended.pop(key, None)
+        self._ended_keys.pop(key, None)
--- a/src/onyxspoke/core/peer_keeper.py
+++ b/src/onyxspoke/core/peer_keeper.py
@@ -1,4 +1,4 @@
-"""Tells peers what is free here, and forgets peers that are gone."""
+"""Advertises this entry's free capacity to its peers and drops peers that timed out."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class PeerKeeper:
-    """Advertisements go out on change, at a bounded pace, and after long silence."""
+    """Advertises capacity on change, at a limited rate, and after a maximum interval."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
-        self._next_look_at = float("-inf")
+        self._next_check_at = float("-inf")
         self._last_sent: AdvertiseCapacity | None = None
         self._last_sent_at = float("-inf")
 
     def keep(self, now: float) -> None:
-        """Advertise if it is time, and forget peers that are gone."""
+        """Advertise if an advertisement is due, and drop peers that timed out."""
         self._advertise(now)
-        self._drop_lapsed(now)
+        self._drop_timed_out_peers(now)
 
     def advertise_soon(self) -> None:
-        """Advertise at the next opportunity."""
-        self._next_look_at = float("-inf")
+        """Check for a changed advertisement at the next tick, without the usual interval."""
+        self._next_check_at = float("-inf")
 
     def _advertise(self, now: float) -> None:
         options = self._context.options
-        if now < self._next_look_at:
+        if now < self._next_check_at:
             return
-        self._next_look_at = now + options.advertise_interval_seconds
+        self._next_check_at = now + options.advertise_interval_seconds
         advertisement = self._make_advertisement(now)
-        is_news = advertisement != self._last_sent
-        if is_news or now - self._last_sent_at >= options.advertise_silence_seconds:
+        is_changed = advertisement != self._last_sent
+        if is_changed or now - self._last_sent_at >= options.advertise_silence_seconds:
             self._last_sent = advertisement
             self._last_sent_at = now
             self._context.emit(advertisement)
@@ -42,15 +42,17 @@
         free, largest = NO_RESOURCES, NO_RESOURCES
         if context.holds_lease(now) and not context.stopping:
             free = context.workers.free_total()
-            frees = [worker.free for worker in context.workers.usable()]
-            largest = max(frees, key=lambda amount: amount.processors, default=NO_RESOURCES)
+            free_by_worker = [worker.free for worker in context.workers.usable()]
+            largest = max(
+                free_by_worker, key=lambda amount: amount.processors, default=NO_RESOURCES
+            )
         return AdvertiseCapacity(free, largest, context.settings.revision)
 
-    def _drop_lapsed(self, now: float) -> None:
+    def _drop_timed_out_peers(self, now: float) -> None:
         lapse_seconds = self._context.options.lease.lapse_seconds
         for peer_id, peer in list(self._context.peers.peers.items()):
             member = self._context.cell.members.get(peer_id)
-            is_gone = member is None or now - member.seen_at > lapse_seconds
-            if is_gone and not peer.connected:
+            timed_out = member is None or now - member.seen_at > lapse_seconds
+            if timed_out and not peer.connected:
                 del self._context.peers.peers[peer_id]
                 self._context.emit(DisconnectPeer(peer_id))
--- a/src/onyxspoke/core/peer_table.py
+++ b/src/onyxspoke/core/peer_table.py
@@ -1,4 +1,4 @@
-"""What this entry knows of its peers' free capacity."""
+"""Free capacity of the peers, as known to this entry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """One peer entry; the free amounts are its last word less what was sent since."""
+    """One peer entry.
+
+    ``free`` is the last advertised capacity minus the tasks forwarded since.
+    """
 
     peer_id: EntryId
     host: str
@@ -23,7 +26,7 @@
 
 
 class PeerTable:
-    """All peers that the log names."""
+    """Peer entries that the log names, by ID."""
 
     def __init__(self) -> None:
         self.peers: dict[EntryId, PeerState] = {}
@@ -31,7 +34,7 @@
     def handle_advertisement(
         self, peer_id: EntryId, free: Resources, largest_free: Resources, valid_until: float
     ) -> None:
-        """Take a peer's word for its free capacity."""
+        """Store the free capacity that a peer advertised."""
         peer = self.peers.get(peer_id)
         if peer is not None:
             peer.free = free
@@ -39,16 +42,18 @@
             peer.valid_until = valid_until
 
     def choose(self, resources: Resources, zone: str, now: float) -> PeerState | None:
-        """Return the connected peer with most free slots among those that may fit a task.
+        """Return the connected peer with the most free slots among those that may fit a task.
 
-        Only peers of ``zone`` are considered, or all if it is empty.
+        Only peers in ``zone`` are considered; an empty ``zone`` admits peers of all zones.
         """
         return max(
-            self._fitting(resources, zone, now), key=lambda peer: peer.free.slots, default=None
+            self._peers_that_fit(resources, zone, now),
+            key=lambda peer: peer.free.slots,
+            default=None,
         )
 
     def note_forwarded(self, peer: PeerState, resources: Resources) -> None:
-        """Count a task just sent against the peer's advertised capacity."""
+        """Subtract a task just forwarded from the peer's advertised capacity."""
         peer.free = peer.free.minus(resources)
 
     def note_refused(self, peer_id: EntryId) -> None:
@@ -57,7 +62,7 @@
         if peer is not None:
             peer.free = NO_RESOURCES
 
-    def _fitting(self, resources: Resources, zone: str, now: float) -> Iterator[PeerState]:
+    def _peers_that_fit(self, resources: Resources, zone: str, now: float) -> Iterator[PeerState]:
         for peer in self.peers.values():
             if (
                 peer.connected
--- a/src/onyxspoke/core/planned_stop.py
+++ b/src/onyxspoke/core/planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop: finish what is in progress, hand over the rest, release the workers."""
+"""Planned stop of an entry: finish requests, hand over unsent jobs, release workers."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class PlannedStop:
-    """Leads an entry from the order to stop to the end of its process."""
+    """Drains an entry after it was told to stop, until its process may exit."""
 
     def __init__(self, context: EntryContext, ownership: OwnershipKeeper, jobs: JobRunner) -> None:
         self._context = context
         self._ownership = ownership
         self._jobs = jobs
-        self._began_at = float("-inf")
+        self._started_at = float("-inf")
         self._released_at = float("-inf")
         self._is_complete = False
 
     def begin(self, now: float) -> None:
-        """Take no new work from now on."""
+        """Start the stop: this entry takes no new work."""
         if self._context.stopping:
             return
         self._context.stopping = True
-        # The others must know at once, or they would still leave workers to this entry.
+        # Peers must learn of the stop now, or they would still leave workers to this entry.
         self._context.cell_appends.stopping = True
-        self._began_at = now
+        self._started_at = now
 
     def keep(self, now: float) -> None:
-        """Go on with a stop that has begun."""
+        """Continue a stop in progress."""
         if not self._context.stopping or self._is_complete:
             return
         self._jobs.release_unsent()
@@ -38,16 +38,17 @@
         if self._context.workers.workers:
             self._released_at = now
             self._ownership.release_all()
-        elif self._is_release_settled(now):
+        elif self._is_release_finished(now):
             self._is_complete = True
             self._context.emit(StopCompleted())
 
     def _is_busy(self, now: float) -> bool:
-        # The balancer needs a moment to see the failed health check.
-        lingers = now < self._began_at + self._context.options.stop_linger_seconds
-        return lingers or bool(self._context.requests) or self._jobs.running_count > 0
-
-    def _is_release_settled(self, now: float) -> bool:
-        # The release only speeds up the takeover: without the log it is not waited for long.
-        waited = now - self._released_at >= self._context.options.lease.lease_seconds
-        return waited or self._context.cell_appends.is_idle
+        # The load balancer needs time to notice the failed health check.
+        minimum_not_elapsed = now < self._started_at + self._context.options.stop_linger_seconds
+        return minimum_not_elapsed or bool(self._context.requests) or self._jobs.running_count > 0
+
+    def _is_release_finished(self, now: float) -> bool:
+        # A release only speeds up the takeover, so an unavailable log delays the stop by at
+        # most one lease.
+        timed_out = now - self._released_at >= self._context.options.lease.lease_seconds
+        return timed_out or self._context.cell_appends.is_idle
--- a/src/onyxspoke/core/rendezvous.py
+++ b/src/onyxspoke/core/rendezvous.py
@@ -1,6 +1,6 @@
 """Rendezvous hashing: every node picks the same candidate for a name.
 
-When a candidate goes, only the names it held move; source: Thaler and Ravishankar,
+When a candidate is removed, only the names assigned to it move; source: Thaler and Ravishankar,
 "Using name-based mappings to increase hit rates", 1998.
 """
 
--- a/src/onyxspoke/core/request_dispatcher.py
+++ b/src/onyxspoke/core/request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Life of a request: admission, queueing, dispatch, forwarding and its one answer."""
+"""Request life cycle: registration, queueing, dispatch, forwarding and the final answer."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     WorkerId,
 )
 
-_MINIMUM_COMPACTED_DEADLINES = 1_024
+_DEADLINE_COMPACTION_THRESHOLD = 1_024
 
 
 class RequestDispatcher:
-    """Moves requests through their states.
+    """Dispatches, forwards, queues and answers requests.
 
     Parameters
     ----------
     context : EntryContext
-        The entry's state.
+        The state that the parts of this entry share.
     deliver : callable
         Called once for each request with its final answer.
     """
@@ -43,17 +43,17 @@
         self._attempt_counter = 0
 
     def register(self, request: ActiveRequest) -> None:
-        """Take responsibility for a request's answer."""
+        """Add a request that this entry must answer, and watch its deadline."""
         self._context.requests[request.request_id] = request
         heapq.heappush(self._deadlines, (request.deadline, request.request_id))
 
     def place_or_queue(self, request: ActiveRequest, now: float) -> None:
-        """Dispatch a request now if there is room, else let it wait."""
+        """Send a request now if a worker or peer has free capacity, else queue or refuse it."""
         request.transition(RequestState.QUEUED)
         if len(self._context.queue) == 0 and self._try_send(request, now):
             return
         if isinstance(request.origin, PeerOrigin):
-            # The peer waits better than we do: it sees all advertisements.
+            # The forwarding peer queues the request instead: it receives all advertisements.
             self.answer(request, self._context.refusal(ResultCode.NO_CAPACITY), now)
             return
         is_job = isinstance(request.origin, JobOrigin)
@@ -64,25 +64,25 @@
         self.pump(now)
 
     def pump(self, now: float) -> None:
-        """Dispatch as many queued requests as there is room for."""
+        """Send as many queued requests as the free capacity allows."""
         if len(self._context.queue) == 0:
             return
-        without_room: set[TaskClass] = set()
+        classes_without_capacity: set[TaskClass] = set()
         for request in self._context.queue.in_order():
             task_class = request.request.task_class
-            if task_class in without_room:
+            if task_class in classes_without_capacity:
                 continue
             if not self._try_send(request, now):
-                without_room.add(task_class)
+                classes_without_capacity.add(task_class)
 
     def handle_task_ended(self, attempt_id: AttemptId, answer: Answer, now: float) -> None:
-        """Take a worker's word that an attempt ended."""
+        """Answer the request of an attempt that a worker reported as ended."""
         request = self._context.attempts.pop(attempt_id, None)
         if request is not None:
             self.answer(request, answer, now)
 
     def handle_task_refused(self, attempt_id: AttemptId, code: ResultCode, now: float) -> None:
-        """Take a worker's word that an attempt did not start."""
+        """Requeue the request of an attempt that a worker refused to start."""
         request = self._context.attempts.pop(attempt_id, None)
         if request is not None:
             self._requeue(request, code, now)
@@ -90,7 +90,7 @@
     def handle_peer_answer(
         self, peer_id: EntryId, request_id: str, answer: Answer, now: float
     ) -> None:
-        """Take a peer's answer to a forwarded request or a key query."""
+        """Handle a peer's answer to a forwarded request or a key query."""
         request = self._context.requests.get(request_id)
         if request is None or request.peer_id != peer_id:
             return
@@ -101,7 +101,7 @@
             self.answer(request, answer, now)
 
     def handle_peer_lost(self, peer_id: EntryId, now: float) -> None:
-        """Give up on everything that the peer has not answered."""
+        """Fail all requests that wait for an answer of a lost peer."""
         for request in list(self._context.requests.values()):
             if request.peer_id != peer_id:
                 continue
@@ -113,10 +113,11 @@
     def handle_missing_attempts(
         self, worker_id: WorkerId, still_running: set[AttemptId], now: float
     ) -> None:
-        """Deal with attempts that a reattached worker does not run.
+        """Requeue or fail the attempts that a reattached worker does not run.
 
-        Answers that it kept came before its inventory, so these tasks are lost, and not
-        running.  A repeatable task of a job may run again; the rest may have run.
+        The worker sends its stored answers before its inventory, so a missing attempt is
+        lost and does not run.  A repeatable task of a job is queued again; any other
+        request fails, since it may have run.
         """
         for request in self._attempts_on(worker_id):
             if request.attempt_id in still_running:
@@ -129,20 +130,20 @@
                 self.answer(request, Answer(code=ResultCode.WORKER_LOST), now)
 
     def give_up_attempts(self, worker_id: WorkerId, now: float) -> None:
-        """Give up on all attempts on a worker that will not be heard of again."""
+        """Fail all attempts on a worker that is permanently lost."""
         for request in self._attempts_on(worker_id):
             self.answer(request, Answer(code=ResultCode.WORKER_LOST), now)
 
     def expire(self, now: float) -> None:
-        """Answer every request whose time is up."""
-        grace = self._context.options.queue.answer_grace_seconds
+        """Handle every request whose deadline has passed."""
+        grace_seconds = self._context.options.queue.answer_grace_seconds
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heapq.heappop(self._deadlines)
             request = self._context.requests.get(request_id)
             if request is None:
                 continue
             if request.is_sent:
-                self._expire_sent(request, grace, now)
+                self._expire_sent(request, grace_seconds, now)
             elif request.state is RequestState.WAITING_FOR_HOLDER:
                 self.answer(request, Answer(code=ResultCode.KEY_HOLDER_UNREACHABLE), now)
             elif request.state is RequestState.WAITING_FOR_LOG:
@@ -152,23 +153,26 @@
         self._compact_deadlines()
 
     def hang_up(self, request: ActiveRequest, now: float) -> None:
-        """Handle a caller that went away; what was sent runs on, for a retry by key."""
+        """Cancel a disconnected caller's request if it is neither sent nor keyed.
+
+        A sent request runs on, and a retry by key may fetch its answer.
+        """
         if not request.is_sent and not request.request.idempotency_key:
             self.answer(request, self._context.refusal(ResultCode.CANCELLED), now)
 
     def cancel(self, request: ActiveRequest, now: float) -> None:
-        """Stop a request that is no longer wanted."""
+        """Cancel a request; a forwarded request runs on."""
         if request.state is RequestState.DISPATCHED:
             self._context.emit(StopTask(request.worker_id, request.attempt_id))
         elif request.state is not RequestState.FORWARDED:
             self.answer(request, self._context.refusal(ResultCode.CANCELLED), now)
 
     def abandon(self, request: ActiveRequest) -> None:
-        """Forget a task that another entry answers for now; what was sent runs on."""
+        """Drop a task that another entry now answers for; a sent task runs on."""
         self._forget(request)
 
     def answer(self, request: ActiveRequest, answer: Answer, now: float) -> None:
-        """Give a request its one final answer."""
+        """Deliver the final answer of a request."""
         self._forget(request)
         self._deliver(request, answer, now)
 
@@ -208,7 +212,7 @@
         if isinstance(request.origin, PeerOrigin):
             return False
         resources = request.request.task_class.resources
-        # A job's tasks stay in its zone, where a new runner looks for them.
+        # A job's tasks stay in its zone, where an adopting entry probes for them.
         zone = self._context.identity.zone if isinstance(request.origin, JobOrigin) else ""
         if zone and not self._context.holds_lease(now):
             return False
@@ -226,15 +230,15 @@
         return True
 
     def _requeue(self, request: ActiveRequest, code: ResultCode, now: float) -> None:
-        """Let a request that did not run wait again, within its budget of attempts."""
+        """Queue a request that did not run again, up to the maximum number of attempts."""
         request.peer_id = ""
         request.worker_id = ""
         if isinstance(request.origin, JobOrigin) and not self._runs_job(request.origin.job_id):
-            self.abandon(request)  # Adopted by another entry while this one was paused.
+            self.abandon(request)  # Another entry adopted the job.
             return
-        exhausted = request.attempts >= self._context.options.queue.maximum_attempts
-        from_peer = isinstance(request.origin, PeerOrigin)
-        if exhausted or from_peer or request.deadline <= now:
+        attempts_exhausted = request.attempts >= self._context.options.queue.maximum_attempts
+        is_from_peer = isinstance(request.origin, PeerOrigin)
+        if attempts_exhausted or is_from_peer or request.deadline <= now:
             self.answer(request, self._context.refusal(code), now)
             return
         request.transition(RequestState.QUEUED)
@@ -255,10 +259,10 @@
         entry = self._context.cell.jobs.get(job_id)
         return entry is not None and entry.runner == self._context.identity.entry_id
 
-    def _expire_sent(self, request: ActiveRequest, grace: float, now: float) -> None:
+    def _expire_sent(self, request: ActiveRequest, grace_seconds: float, now: float) -> None:
         if isinstance(request.origin, JobOrigin):
             return
-        overdue_at = request.deadline + grace
+        overdue_at = request.deadline + grace_seconds
         if now < overdue_at:
             heapq.heappush(self._deadlines, (overdue_at, request.request_id))
             return
@@ -266,7 +270,7 @@
 
     def _compact_deadlines(self) -> None:
         requests = self._context.requests
-        if len(self._deadlines) < _MINIMUM_COMPACTED_DEADLINES + 2 * len(requests):
+        if len(self._deadlines) < _DEADLINE_COMPACTION_THRESHOLD + 2 * len(requests):
             return
         self._deadlines = [item for item in self._deadlines if item[1] in requests]
         heapq.heapify(self._deadlines)
--- a/src/onyxspoke/core/requests.py
+++ b/src/onyxspoke/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests in progress at one entry and the states that they move through."""
+"""Requests in progress at one entry, their states and the allowed transitions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestState(Enum):
-    """States of a request at the entry that is responsible for its answer."""
+    """State of a request at the entry that must answer it."""
 
     RECEIVED = "received"
     WAITING_FOR_LOG = "waiting_for_log"
@@ -38,7 +38,7 @@
     RequestState.QUEUED: frozenset(
         {RequestState.DISPATCHED, RequestState.FORWARDED, RequestState.ANSWERED}
     ),
-    # Back to QUEUED only from an answer that says "not run".
+    # A sent request returns to QUEUED only if it did not run.
     RequestState.DISPATCHED: frozenset({RequestState.QUEUED, RequestState.ANSWERED}),
     RequestState.FORWARDED: frozenset({RequestState.QUEUED, RequestState.ANSWERED}),
     RequestState.ANSWERED: frozenset(),
@@ -46,7 +46,7 @@
 
 
 class CallerOrigin(msgspec.Struct, frozen=True):
-    """A caller of this entry waits for the answer."""
+    """The request came from a caller of this entry, who waits for the answer."""
 
 
 class PeerOrigin(msgspec.Struct, frozen=True):
@@ -92,14 +92,14 @@
         return self.request.task_class.priority
 
     def transition(self, target: RequestState) -> None:
-        """Move to another state; only moves of the table are allowed."""
+        """Change the state; raise ``ValueError`` if the transition is not allowed."""
         if target not in ALLOWED_REQUEST_TRANSITIONS[self.state]:
             raise ValueError(f"request {self.request_id}: {self.state.value} -> {target.value}")
         self.state = target
 
 
 class QueueLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of what one entry takes on."""
+    """Limits on the queue, the attempts and the overdue answers of one entry."""
 
     maximum_queued: int = 2_000
     maximum_queued_bytes: int = 16 * 1024 * 1024
--- a/src/onyxspoke/core/routing.py
+++ b/src/onyxspoke/core/routing.py
@@ -1,4 +1,4 @@
-"""Which queue a caller's address names: the host, and the longest prefix of the path."""
+"""Routes a caller's URL to a queue, by host and longest path prefix."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class RouteEntry(msgspec.Struct, frozen=True):
-    """One route: callers of ``host`` whose path begins with ``path_prefix``.
+    """One route: requests to ``host`` whose path starts with ``path_prefix``.
 
-    ``allows_anonymous`` says that its callers need no key.
+    With ``allows_anonymous``, callers of the route need no API key.
     """
 
     queue: str
@@ -21,7 +21,7 @@
 
 
 class RouteTable:
-    """All routes of one version of the configuration."""
+    """All routes of one configuration version."""
 
     def __init__(self, routes: Iterable[RouteEntry]) -> None:
         self._by_host: dict[str, list[RouteEntry]] = {}
@@ -31,7 +31,7 @@
             entries.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> RouteEntry | None:
-        """Return the route of a host, with or without a port, and a path."""
+        """Return the route for a host (a port is ignored) and a path, or ``None``."""
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.path_prefix):
