--- a/features/steps/admission_callers.py
+++ b/features/steps/admission_callers.py
@@ -10,8 +10,8 @@
 from unittest import mock
 
 from onyxspoke.core.admission.summary import AdmissionSummary
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.expected import Expected
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.estimates.expected import DurationEstimate
 from onyxspoke.core.jobs.model import JobSpec, StepSpec
 from onyxspoke.core.jobs.states import RunEnd
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
@@ -153,17 +153,17 @@
 
 
 def _expected_as_told(
-    _durations: Durations, _queue: str, _tenant: str, estimated_ms: float, _worker: str = ""
-) -> Expected:
+    _durations: DurationEstimator, _queue: str, _tenant: str, estimated_ms: float, _worker: str = ""
+) -> DurationEstimate:
     """Stand for what was learned of work that takes as long as its callers say."""
     seconds = estimated_ms / 1_000.0
-    return Expected(seconds, seconds, evidence=100.0)
+    return DurationEstimate(seconds, seconds, evidence=100.0)
 
 
 def start_cluster(
     context: Any, workers: int, *, admission: bool, tenants: dict[str, float], nodes: int = 3
 ) -> None:
-    patch = mock.patch.object(Durations, "expected", _expected_as_told)
+    patch = mock.patch.object(DurationEstimator, "expected", _expected_as_told)
     patch.start()
     context.add_cleanup(patch.stop)
     work = WorkOptions(seed=7, shortest_seconds=WORK_SECONDS, longest_seconds=WORK_SECONDS)
--- a/features/steps/admission_holder_steps.py
+++ b/features/steps/admission_holder_steps.py
@@ -75,14 +75,14 @@
 def _asks_once(context: Any, times: int) -> None:
     scheduler = _scheduler(context)
     [caller] = context.arrivals.of()
-    shares = scheduler.context.shares
+    shares = scheduler.context.share_meter
     # The first job of all takes the one mark that is saved up.
     for name, count in (("d", 1), ("e", times)):
         spec = msgspec.structs.replace(caller.spec, job_id=name * 16, tenant="none")
         for _ in range(count):
             scheduler.on_call(-1, SubmitCall(spec), context.cluster.time.now())
             context.cluster.run(1.0)
-    assert (shares.owed_count("none"), shares.beyond_count("none")) == (1, 1)
+    assert (shares.entitled_count("none"), shares.over_share_count("none")) == (1, 1)
 
 
 @given("nothing of the part can be asked")
--- a/features/steps/admission_rule_steps.py
+++ b/features/steps/admission_rule_steps.py
@@ -27,9 +27,9 @@
 from onyxspoke.core.admission.submitted_job import SubmittedJob, describe_submitted_job
 from onyxspoke.core.admission.verdict import Admit, RefusalReason, Refuse
 from onyxspoke.core.admission.waiting_work import WaitingWork, WaitingWorkQueue
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.expected import Expected
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.estimates.expected import DurationEstimate
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.queue_order import Lateness, StepRank
@@ -71,7 +71,9 @@
 
 def _view(scene: _Scene, policy: PolicySet | None = None) -> LoadView:
     steps = [step for step in scene.steps.values() if step.waiting]
-    load = LoadInputs(steps, scene.table, policy or PolicySet(), Durations(), 0.4, ArrivalMeter())
+    load = LoadInputs(
+        steps, scene.table, policy or PolicySet(), DurationEstimator(), 0.4, ArrivalMeter()
+    )
     return build_load_view(load, scene.now)
 
 
@@ -93,7 +95,7 @@
         tenant=tenant,
         is_over_share=beyond,
     )
-    return describe_submitted_job(spec, queue, Durations(), scene.now)
+    return describe_submitted_job(spec, queue, DurationEstimator(), scene.now)
 
 
 @when("jobs are handed in to drawn cells")
@@ -289,11 +291,11 @@
 
 @when("it is known that tasks take {times:d} times their estimates")
 def _longer(context: Any, times: int) -> None:
-    def expected(*args: Any, **_named: Any) -> Expected:
+    def expected(*args: Any, **_named: Any) -> DurationEstimate:
         seconds = times * args[3] / 1_000.0
-        return Expected(seconds, seconds, evidence=100.0)
+        return DurationEstimate(seconds, seconds, evidence=100.0)
 
-    patch = mock.patch.object(Durations, "expected", expected)
+    patch = mock.patch.object(DurationEstimator, "expected", expected)
     patch.start()
     context.add_cleanup(patch.stop)
 
@@ -313,7 +315,7 @@
 
 @then("a job of a tenant whose quota never has room for it is refused")
 def _too_wide(context: Any) -> None:
-    tenant = TenantPolicy(name="small", weight=1.0, quota=Needs(2_000, 0, 0))
+    tenant = TenantPolicy(name="small", weight=1.0, quota=ResourceVector(2_000, 0, 0))
     policy = PolicySet(tenants={"small": tenant})
     verdict = _decide(context, True, policy, job=(1, 4, 1, False), tenant="small")
     assert not isinstance(verdict, Admit)
--- a/features/steps/advice_cell.py
+++ b/features/steps/advice_cell.py
@@ -8,7 +8,14 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from onyxspoke.core.jobs.model import AdvicePolicy, JobSpec, Needs, QueuePolicy, StepKey, StepSpec
+from onyxspoke.core.jobs.model import (
+    AdvicePolicy,
+    JobSpec,
+    QueuePolicy,
+    ResourceVector,
+    StepKey,
+    StepSpec,
+)
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.jobs.states import JobState, RunState, TaskState
@@ -20,12 +27,12 @@
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
-from onyxspoke.core.tenants.ledger import no_quotas
+from onyxspoke.core.tenants.quota_usage import unlimited_quotas
 
 PASS_SECONDS = 0.02
 SERVICE = "service"
-SMALL_WORKER = Needs(16_000, 64_000, 0)
-LARGE_WORKER = Needs(64_000, 262_144, 0)
+SMALL_WORKER = ResourceVector(16_000, 64_000, 0)
+LARGE_WORKER = ResourceVector(64_000, 262_144, 0)
 
 
 @dataclass(frozen=True)
@@ -73,7 +80,7 @@
         workers: int,
         entries: int,
         kinds: dict[str, Kind] = INSTITUTE,
-        capacity: Needs = SMALL_WORKER,
+        capacity: ResourceVector = SMALL_WORKER,
         validity_ms: float = 1_500.0,
         uses_fair_shares: bool = False,
     ) -> None:
@@ -173,7 +180,7 @@
         waiting = [step for step in self.steps.values() if step.waiting]
         for key in self.advice_dispatcher.take_due_retries(self.now):
             self.placer.reconsider(key)
-        quotas = no_quotas()
+        quotas = unlimited_quotas()
         for plan in self.placer.plan(waiting, PolicySet(), quotas, self.now):
             name = plan.step.job.job_id
             self.begun.setdefault(name, self.now)
--- a/features/steps/advice_failure_steps.py
+++ b/features/steps/advice_failure_steps.py
@@ -12,7 +12,7 @@
 from hypothesis import given as for_all
 from hypothesis import strategies as st
 
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.advice_queue import AdviceCall
@@ -339,7 +339,7 @@
     waiting = [call.progress for call in desk.desk._line]
     context.unwanted = placed, over_quota, expired = waiting[3], waiting[5], waiting[7]
     _place(placed)
-    over_quota.note_quota(True, desk.now)
+    over_quota.set_over_quota(True, desk.now)
     expired.due_at -= 1_000.0
     for call in desk.desk._line:
         call.rank_holds_until = desk.now
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 from behave import given, then, when
-from job_promise_steps import WITHOUT
+from job_promise_steps import MECHANISM_DISABLERS
 
-from onyxspoke.core.jobs.model import JobId, JobSpec, Needs, QueuePolicy, StepSpec, TaskKey
+from onyxspoke.core.jobs.model import JobId, JobSpec, QueuePolicy, ResourceVector, StepSpec, TaskKey
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
@@ -90,7 +90,7 @@
     if mechanism != "nothing":
         stack = ExitStack()
         context.add_cleanup(stack.close)
-        stack.enter_context(WITHOUT[mechanism]())
+        stack.enter_context(MECHANISM_DISABLERS[mechanism]())
 
 
 @given("that cell, whose tasks crash their workers {seconds:g} seconds after the start")
@@ -200,7 +200,12 @@
 
 def _make_worker() -> Worker:
     record = WorkerRecord(
-        worker_id="w1", host="10.9.0.1", port=8_000, service="s", zone="z", capacity=Needs(64_000)
+        worker_id="w1",
+        host="10.9.0.1",
+        port=8_000,
+        service="s",
+        zone="z",
+        capacity=ResourceVector(64_000),
     )
     return Worker(record, previous_lease_expires_at=0.0)
 
--- a/features/steps/differential_job_steps.py
+++ b/features/steps/differential_job_steps.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxspoke.core.jobs.book import JobBook
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.jobs.job_registry import JobRegistry
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.jobs.records import (
     decode_progress,
@@ -139,7 +139,7 @@
 
 
 def _check_room(context: Any, drawn: list[tuple[bool, int]]) -> None:
-    capacity = Needs(10_000, 10_000, 4)
+    capacity = ResourceVector(10_000, 10_000, 4)
     record = WorkerRecord(worker_id="w", host="h", port=1, service="s", zone="z", capacity=capacity)
     worker = Worker(record, 0.0)
     job = JobProgress(_make_job(1, [(10, False, False)]), 0.0)
@@ -180,7 +180,7 @@
 
 
 def _check_records(context: Any, shapes: list[Any], drawn: list[Any]) -> None:
-    book = JobBook(120.0)
+    book = JobRegistry(120.0)
     spec = _make_job(7, shapes)
     book.submit(spec, 1.0)
     job = book.jobs[spec.job_id]
--- a/features/steps/differential_steps.py
+++ b/features/steps/differential_steps.py
@@ -5,7 +5,7 @@
 from behave import then, when
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from naive import NaiveCell, NaiveLedger, NaiveSettings, naive_has_room
+from naive import NaiveCell, NaiveOwnership, NaiveSettings, naive_has_free_capacity
 from settings_file_steps import deployment_path
 
 from onyxspoke.core.cell_state import CellLimits, CellState
@@ -151,12 +151,12 @@
 def step_claims(context):
     @given(batches)
     def check(drawn):
-        naive = NaiveLedger()
+        naive = NaiveOwnership()
         for offset, (writer, claims, releases) in enumerate(drawn, start=1):
             naive.write(offset, writer, claims, releases)
         cell = fold(make_batches(drawn))
         for worker in ("w1", "w2", "w3"):
-            holding = cell.holding_of(worker)
+            holding = cell.ownership_of(worker)
             assert holding.holder == (naive.holders.get(worker) or "")
             assert holding.epoch == naive.epochs.get(worker, 0)
 
@@ -175,7 +175,7 @@
             for index in repeats:
                 if index < offset:
                     assert not repeated.apply(offset, log[index], 0.0)
-        assert plain.holdings == repeated.holdings
+        assert plain.ownerships == repeated.ownerships
 
     check()
 
@@ -223,7 +223,7 @@
             owned = list(table.workers.values())
             accepting = [worker for worker in owned if worker.accepts_work]
             chosen, expected = table.choose(task_class), choose_worker(task_class, accepting)
-            assert (chosen is not None) == naive_has_room(task_class, accepting)
+            assert (chosen is not None) == naive_has_free_capacity(task_class, accepting)
             assert (chosen is None) == (expected is None)
             if chosen is not None:
                 assert chosen.occupied_share == expected.occupied_share
--- a/features/steps/estimates_cluster_steps.py
+++ b/features/steps/estimates_cluster_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from estimates_shop import NEAR
 
-from onyxspoke.core.estimates.durations import Durations
+from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.estimates.record import (
     MAXIMUM_RECORD_BYTES,
 )
@@ -57,7 +57,7 @@
     return holder
 
 
-def _held_durations(cluster: Any) -> Durations:
+def _held_durations(cluster: Any) -> DurationEstimator:
     return _holder(cluster).node.seats[0].scheduler.context.durations
 
 
--- a/features/steps/estimates_decision_steps.py
+++ b/features/steps/estimates_decision_steps.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from placement_steps import _Scene
 
-from onyxspoke.core.estimates.durations import Durations
+from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.jobs.states import JobState, RunEnd, RunState, TaskState
 from onyxspoke.core.placement.runs import GangRun, Run
@@ -41,7 +41,7 @@
 class _Played:
     """A placer, its workers and a history; what started where and when."""
 
-    def __init__(self, durations: Durations, unlike: bool, lag: float) -> None:
+    def __init__(self, durations: DurationEstimator, unlike: bool, lag: float) -> None:
         self.scene = _Scene()
         self.durations = durations
         self.lag = lag
@@ -51,7 +51,7 @@
         for number in range(6):
             name = f"w{number}"
             self.scene.add_worker(name, 10)
-            self.scene.table.workers[name].speed = durations.begin_life(name, 0, "", 0.0)
+            self.scene.table.workers[name].speed = durations.begin_incarnation(name, 0, "", 0.0)
             self.slowness[name] = 2.5 if unlike and number % 3 == 0 else 1.0
 
     def hand_in(self, number: int, drawn: tuple[int, int, int, int, bool, int, int]) -> None:
@@ -63,7 +63,7 @@
         spec = msgspec.structs.replace(step.spec, estimated_ms=tenths * 100)
         job = step.job
         job_spec = msgspec.structs.replace(job.spec, steps=(spec,))
-        work = self.durations.work_of(job.spec.queue.name, "")
+        work = self.durations.work_model_for(job.spec.queue.name, "")
         made = JobProgress(job_spec, scene.now, work)
         made.committed_state = JobState.QUEUED
         scene.steps[f"j{number}"] = made.begin_repetition(0, scene.now)[0]
@@ -88,7 +88,7 @@
         scene = self.scene
         for run in list(self.runs):
             self._advance(run, holds)
-        self.durations.keep(scene.now)
+        self.durations.refresh_if_due(scene.now)
         before = {name: set(worker.runs) for name, worker in scene.table.workers.items()}
         scene.make_pass()
         for name, worker in scene.table.workers.items():
@@ -126,9 +126,9 @@
         if percent // 10 != run.percent // 10 and percent < 100:
             run.percent = percent
             run.progressed_at = run.listed_at = self.scene.now
-            self.durations.note_progress(run, self.scene.now)
+            self.durations.observe_progress(run, self.scene.now)
         if self.runs[run] >= whole + self.lag - 1e-9:
-            self.durations.note_end(run, RunEnd.DONE, self.scene.now)
+            self.durations.observe_run_end(run, RunEnd.DONE, self.scene.now)
             self._end(run)
             run.task.move_to(TaskState.DONE)
 
@@ -147,9 +147,9 @@
     @settings(max_examples=count, phases=WITHOUT_SHRINKING)
     @drawn_from(_jobs, st.sampled_from([0.0, 0.02, 0.05]))
     def check(history: list[Any], lag: float) -> None:
-        learning = Durations()
+        learning = DurationEstimator()
         first = _Played(learning, False, lag).play(history * 3, holds=True)
-        second = _Played(Durations(False), False, lag).play(history * 3, holds=True)
+        second = _Played(DurationEstimator(False), False, lag).play(history * 3, holds=True)
         known = sum(work.is_known for work in learning.queues.values())
         context.pairs.append((first, second, known))
         assert first == second, (first, second)
@@ -166,7 +166,7 @@
     @settings(max_examples=count, phases=WITHOUT_SHRINKING)
     @drawn_from(_jobs)
     def check(history: list[Any]) -> None:
-        first = _Played(Durations(False), True, 0.02).play(history * 3, holds=False)
+        first = _Played(DurationEstimator(False), True, 0.02).play(history * 3, holds=False)
         naive = _Played(_Unaware(False), True, 0.02).play(history * 3, holds=False)
         context.pairs.append((first, naive, 0))
         assert first == naive
@@ -174,16 +174,16 @@
     check()
 
 
-class _Unaware(Durations):
+class _Unaware(DurationEstimator):
     """The naive version: told of nothing."""
 
-    def note_progress(self, run: Run, now: float) -> None:
+    def observe_progress(self, run: Run, now: float) -> None:
         pass
 
-    def note_end(self, run: Run, end: RunEnd, now: float) -> None:
+    def observe_run_end(self, run: Run, end: RunEnd, now: float) -> None:
         pass
 
-    def keep(self, now: float) -> bool:
+    def refresh_if_due(self, now: float) -> bool:
         return False
 
 
--- a/features/steps/estimates_shop.py
+++ b/features/steps/estimates_shop.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.jobs.states import RunEnd, RunState
 from onyxspoke.core.placement.runs import GangRun, Run
@@ -51,7 +51,7 @@
         self._looked_at = 0.0
 
     @property
-    def durations(self) -> Durations:
+    def durations(self) -> DurationEstimator:
         return self.context.durations
 
     def add_worker(self, name: str, kind: str = "", rack: str = "one") -> None:
@@ -62,13 +62,13 @@
             port=0,
             service="service",
             zone="zone",
-            capacity=Needs(64_000, 64_000, 0),
+            capacity=ResourceVector(64_000, 64_000, 0),
             kind=kind,
             rack=rack,
             born_ms=born,
         )
         self.workers[name] = worker = Worker(record, 0.0)
-        worker.speed = self.durations.begin_life(name, born, kind, self.now)
+        worker.speed = self.durations.begin_incarnation(name, born, kind, self.now)
 
     def start(
         self,
@@ -91,7 +91,7 @@
             steps=(step_spec,),
             tenant=tenant,
         )
-        job = JobProgress(spec, self.now, self.durations.work_of(queue, tenant))
+        job = JobProgress(spec, self.now, self.durations.work_model_for(queue, tenant))
         [step] = job.begin_repetition(0, self.now)
         gang = GangRun(step, 1) if step_spec.gang else None
         names = list(self.workers)
@@ -144,7 +144,7 @@
     def _end(self, run: Run, end: RunEnd) -> None:
         del self.runs[run]
         self.ended.append(run)
-        self.durations.note_end(run, end, self.now + LAG_SECONDS)
+        self.durations.observe_run_end(run, end, self.now + LAG_SECONDS)
         run.state = RunState.ENDED
 
     def _look_at(self, run: Run) -> None:
@@ -154,7 +154,7 @@
         if percent != run.percent:
             run.percent = percent
             run.progressed_at = self.now
-            self.durations.note_progress(run, self.now)
+            self.durations.observe_progress(run, self.now)
 
     def drain(self) -> None:
         while self.runs:
--- a/features/steps/estimates_steps.py
+++ b/features/steps/estimates_steps.py
@@ -13,7 +13,7 @@
 from estimates_shop import NEAR, QUEUE, Shop
 
 from onyxspoke.core.codes import OnyxspokeError, ResultCode
-from onyxspoke.core.estimates.durations import Durations
+from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.estimates.record import (
     MAXIMUM_RECORD_BYTES,
     encode_estimates,
@@ -206,7 +206,7 @@
 @when('{minutes:d} minutes pass, "{tenant}" hands in a job, and {more:d} minutes more pass')
 def _pass_beside_job(context: Any, minutes: int, tenant: str, more: int) -> None:
     _pass_minutes(context, minutes)
-    context.shop.durations.work_of("letters", tenant)
+    context.shop.durations.work_model_for("letters", tenant)
     _pass_minutes(context, more)
 
 
@@ -214,7 +214,7 @@
 def _starts_again(context: Any, worker: str) -> None:
     shop = context.shop
     kind = shop.workers[worker].record.kind
-    speed = shop.durations.begin_life(worker, 9_999, kind, shop.now)
+    speed = shop.durations.begin_incarnation(worker, 9_999, kind, shop.now)
     shop.workers[worker].speed = speed
     shop.now += 1.0
     shop.keep()
@@ -262,7 +262,7 @@
 
 @then("a job whose steps are estimated at {amount:g} milliseconds each is taken and ranked")
 def _is_ranked(context: Any, amount: float) -> None:
-    work = context.shop.durations.work_of("letters", "")
+    work = context.shop.durations.work_model_for("letters", "")
     assert work.factor > 2.0
     job = JobProgress(_handed_in(amount), context.shop.now, work)
     rank = step_rank_in_queue(job.begin_repetition(0, context.shop.now)[0], QUEUE, context.shop.now)
@@ -317,7 +317,7 @@
     step = shop.start(1, seconds)
     rank = step_rank_in_queue(step, step.job.spec.queue, shop.now)
     slack = rank.latest_start - shop.now
-    assert abs(step.expected_chain_seconds / chain - 1.0) < NEAR
+    assert abs(step.expected_remaining_path_seconds / chain - 1.0) < NEAR
     assert abs(step.job.expected_objective_seconds / objective - 1.0) < NEAR
     assert abs(slack / (objective - chain) - 1.0) < NEAR, slack
 
@@ -406,7 +406,7 @@
     shop = context.shop
     source = random.Random(3)
     for number in range(tenants):
-        work = shop.durations.work_of(f"queue-{number % queues}", f"tenant-{number}")
+        work = shop.durations.work_model_for(f"queue-{number % queues}", f"tenant-{number}")
         for _ in range(60):
             shop.durations._note_work(work, source.gauss(0.0, 2.0), 3.0, shop.now)
     for worker in shop.workers.values():
@@ -438,6 +438,6 @@
 @then("a successor can read it")
 def _readable(context: Any) -> None:
     data = encode_estimates(context.shop.durations, context.shop.now)
-    again = Durations()
+    again = DurationEstimator()
     restore_estimates(again, data, 5.0)
     assert again.queues or again.tenants
--- a/features/steps/job_directed_steps.py
+++ b/features/steps/job_directed_steps.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from behave import given, then, when
-from job_promise_steps import WITHOUT
+from job_promise_steps import MECHANISM_DISABLERS
 
 from onyxspoke.core.jobs.model import JobSpec, StepSpec
 from onyxspoke.core.shard.calls import (
@@ -46,7 +46,7 @@
 def _cluster_without(context: Any, count: int, mechanism: str) -> None:
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    stack.enter_context(WITHOUT[mechanism]())
+    stack.enter_context(MECHANISM_DISABLERS[mechanism]())
     _start_cluster(context, count)
 
 
--- a/features/steps/job_promise_steps.py
+++ b/features/steps/job_promise_steps.py
@@ -10,8 +10,8 @@
 from behave import then, when
 
 from onyxspoke.core.jobs import records
-from onyxspoke.core.jobs.book import JobBook
 from onyxspoke.core.jobs.crashes import CrashTally
+from onyxspoke.core.jobs.job_registry import JobRegistry
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.placement import isolation, spreading
 from onyxspoke.core.placement.spreading import StepPlacement
@@ -154,7 +154,7 @@
 
 @contextmanager
 def _without_crash_count() -> Iterator[None]:
-    with mock.patch.object(JobBook, "task_crashed", lambda _book, _task, _blame, _now: False):
+    with mock.patch.object(JobRegistry, "task_crashed", lambda _book, _task, _blame, _now: False):
         yield
 
 
@@ -178,7 +178,7 @@
 
 @contextmanager
 def _without_doubted_crashes() -> Iterator[None]:
-    with mock.patch.object(JobBook, "tasks_doubted_on", lambda _book, _worker_id: []):
+    with mock.patch.object(JobRegistry, "tasks_doubted_on", lambda _book, _worker_id: []):
         yield
 
 
@@ -201,7 +201,7 @@
 
 
 #: What takes a mechanism out, by its name in the features.
-WITHOUT = {
+MECHANISM_DISABLERS = {
     "starts only after the commit": _without_commit_before_start,
     "the record of starts": _without_record_of_starts,
     "the mark of recorded starts": _without_mark,
--- a/features/steps/load_report_steps.py
+++ b/features/steps/load_report_steps.py
@@ -14,7 +14,7 @@
 
 from onyxspoke.cli import load_commands
 from onyxspoke.core.admission.summary import AdmissionSummary, QueueNotice
-from onyxspoke.core.estimates.expected import Expected
+from onyxspoke.core.estimates.expected import DurationEstimate
 from onyxspoke.core.jobs.model import AdvicePolicy, JobSpec, StepSpec
 from onyxspoke.core.shard.actions import AdviceRequested, CallerReturned, ReturnOutcome
 from onyxspoke.core.shard.calls import SubmitCall
@@ -68,12 +68,14 @@
     ' and "{worker}" {times:g} times the usual'
 )
 def _learned(context: Any, queue: str, factor: float, worker: str, times: float) -> None:
-    def expected(name: str, _tenant: str, estimated_ms: float, worker_id: str = "") -> Expected:
+    def expected(
+        name: str, _tenant: str, estimated_ms: float, worker_id: str = ""
+    ) -> DurationEstimate:
         own = times if worker_id.startswith(f"{worker}.") else 1.0
         seconds = estimated_ms / 1_000.0 * own
         if name != queue:
-            return Expected(seconds, seconds)
-        return Expected(seconds * factor, seconds * 2 * factor, 40.0)
+            return DurationEstimate(seconds, seconds)
+        return DurationEstimate(seconds * factor, seconds * 2 * factor, 40.0)
 
     _scheduler(context).context.durations.expected = expected
 
--- a/features/steps/naive.py
+++ b/features/steps/naive.py
@@ -26,7 +26,7 @@
             path = path.rpartition("/")[0]
 
 
-class NaiveLedger:
+class NaiveOwnership:
     """Who holds each worker; a claim is right if nothing happened since its writer looked."""
 
     def __init__(self):
@@ -62,7 +62,7 @@
         return self.answers[nonce]
 
 
-def naive_has_room(task_class, workers):
+def naive_has_free_capacity(task_class, workers):
     """Scan everything."""
     for worker in workers:
         if task_class.generations and worker.machine.generation not in task_class.generations:
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, when
 
-from onyxspoke.core.jobs.model import AdvicePolicy, JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.jobs.model import AdvicePolicy, JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress
 from onyxspoke.core.jobs.states import JobState, RunState, TaskState
@@ -17,14 +17,14 @@
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker, WorkerContact
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
-from onyxspoke.core.tenants.ledger import no_quotas
+from onyxspoke.core.tenants.quota_usage import unlimited_quotas
 
 MILLI = 1_000
 ESTIMATED_MS = 2_000
 SERVICE = "service"
 
 #: A cell without tenants.
-NO_QUOTAS = no_quotas()
+NO_QUOTAS = unlimited_quotas()
 
 
 class _Scene:
@@ -49,7 +49,7 @@
             port=1,
             service=SERVICE,
             zone="zone",
-            capacity=Needs(processors * MILLI, 64_000, 0),
+            capacity=ResourceVector(processors * MILLI, 64_000, 0),
             rack=rack,
         )
         worker = Worker(record, previous_lease_expires_at=0.0)
--- a/features/steps/platform_codec_steps.py
+++ b/features/steps/platform_codec_steps.py
@@ -275,7 +275,7 @@
 
 @then('the service "{name}" checks room')
 def _checks_room(context, name):
-    assert context.configuration.policy.services[name].checks_room
+    assert context.configuration.policy.services[name].checks_capacity
 
 
 @then('callers of "{host}" at "{path}" reach the queue "{queue}" within {timeout:d} ms')
--- a/features/steps/preemption_steps.py
+++ b/features/steps/preemption_steps.py
@@ -9,11 +9,11 @@
 from behave import given, then, when
 from placement_steps import MILLI, _Scene
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.preemption import choose_preemption
-from onyxspoke.core.placement.scratch_capacity import ScratchCapacity, slots_within
+from onyxspoke.core.placement.scratch_capacity import ScratchCapacity, count_fitting_tasks
 from onyxspoke.core.shard.orders import AdviceOutcome, AdviceResult, Ticket
 
 TRAITS: dict[str, dict[str, bool]] = {
@@ -149,13 +149,13 @@
             run = scene.start(step, 0, worker)
             run.move_to(RunState.RUNNING)
             run.confirmed_at = scene.now - rng.choice([0.0, 0.5, 1.7])
-    needs = Needs(rng.randint(3, 16) * MILLI, 100, 0)
+    needs = ResourceVector(rng.randint(3, 16) * MILLI, 100, 0)
     workers = [item for item in scene.table.workers.values() if not item.fits(needs)]
     found = choose_preemption(1, needs, workers, ScratchCapacity(), PolicySet(), scene.now)
     return scene, needs, found, any(_naive(worker, needs, scene.now) for worker in workers)
 
 
-def _naive(worker: Any, needs: Needs, now: float) -> bool:
+def _naive(worker: Any, needs: ResourceVector, now: float) -> bool:
     """Try every set of runs that may give way, beside those that end within a moment."""
     soon, movable = [], []
     for run in worker.runs.values():
@@ -201,5 +201,5 @@
             if run in found.runs or (not run.task.step.spec.long_running and left < 0.6):
                 free += run.needs.processors_milli
         for run in found.runs:
-            left = Needs(free - run.needs.processors_milli, 1_000_000, 0)
-            assert slots_within(left, needs) == 0, (needs, found)
+            left = ResourceVector(free - run.needs.processors_milli, 1_000_000, 0)
+            assert count_fitting_tasks(left, needs) == 0, (needs, found)
--- a/features/steps/quota_loan_steps.py
+++ b/features/steps/quota_loan_steps.py
@@ -10,16 +10,16 @@
 import msgspec
 from behave import given, then, when
 
-from onyxspoke.core.jobs.amounts import minus
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.records import encode_spec, spec_key
+from onyxspoke.core.jobs.resource_vectors import subtract_vectors
 from onyxspoke.core.shard.actions import DecisionLogLine
 from onyxspoke.core.shard.context import ShardContext, ShardOptions
 from onyxspoke.core.shard.journal import restore_records
 from onyxspoke.core.shard.log_records import ShardRecord
 from onyxspoke.core.shard.worker_registry import WorkerRegistry
-from onyxspoke.core.tenants.bank import QUOTA_PREFIX, Loan, QuotaBank, QuotaRequest
-from onyxspoke.core.tenants.borrower import QuotaBorrower
+from onyxspoke.core.tenants.quota_borrower import QuotaBorrower
+from onyxspoke.core.tenants.quota_lender import QUOTA_PREFIX, Loan, QuotaLender, QuotaRequest
 
 TENANT = "one"
 TICK_SECONDS = 0.05
@@ -27,8 +27,8 @@
 QUOTA = 10
 
 
-def _amount(count: int) -> Needs:
-    return Needs(count, 0, 0)
+def _amount(count: int) -> ResourceVector:
+    return ResourceVector(count, 0, 0)
 
 
 class _Cell:
@@ -37,7 +37,7 @@
     def __init__(self, quota: int, shards: int) -> None:
         self.now = 50.0
         self.quota = quota
-        self.bank = QuotaBank(0)
+        self.bank = QuotaLender(0)
         self.stored = b""
         self.token = 1
         self.used = dict.fromkeys(range(shards), 0)
@@ -46,12 +46,14 @@
 
     def part(self, shard: int) -> int:
         if shard == 0:
-            left = minus(_amount(self.quota), self.bank.lent(TENANT))
-            return minus(left, self.bank.kept_back(TENANT)).processors_milli
+            left = subtract_vectors(_amount(self.quota), self.bank.lent(TENANT))
+            return subtract_vectors(
+                left, self.bank.reserved_for_other_shards(TENANT)
+            ).processors_milli
         return self.borrowers[shard].amount(TENANT).processors_milli
 
-    def keep(self, shard: int) -> QuotaRequest | None:
-        return self.borrowers[shard].keep(
+    def next_request(self, shard: int) -> QuotaRequest | None:
+        return self.borrowers[shard].next_request(
             TENANT,
             _amount(self.quota),
             _amount(self.used[shard]),
@@ -59,7 +61,7 @@
             self.now,
         )
 
-    def lend(self, request: QuotaRequest) -> Needs:
+    def lend(self, request: QuotaRequest) -> ResourceVector:
         amount = self.bank.request(request, _amount(self.quota), _amount(self.used[0]), self.now)
         if TENANT in self.bank.dirty:
             self.bank.dirty.clear()
@@ -67,7 +69,7 @@
         return amount
 
     def replace_bank(self) -> None:
-        self.bank = QuotaBank(0)
+        self.bank = QuotaLender(0)
         self.bank.restore(TENANT, self.stored)
 
     def replace_holder(self, shard: int) -> None:
@@ -84,7 +86,7 @@
 
 
 def _exchange(cell: _Cell, shard: int) -> None:
-    request = cell.keep(shard)
+    request = cell.next_request(shard)
     assert request is not None
     cell.borrowers[shard].handle_granted(request, cell.lend(request), cell.now)
 
@@ -114,7 +116,7 @@
 def _wants_nothing(context: Any, shard: int, seconds: float) -> None:
     cell = context.cell
     cell.wanted[shard] = 0
-    assert cell.keep(shard) is None
+    assert cell.next_request(shard) is None
     cell.now += seconds
     _exchange(cell, shard)
 
@@ -134,7 +136,7 @@
 def _falls(context: Any, quota: int) -> None:
     context.cell.quota = quota
     context.cell.wanted[1] = 0
-    context.cell.keep(1)
+    context.cell.next_request(1)
 
 
 @then("shard {shard:d} may have {count:d} running, before any answer")
@@ -234,9 +236,9 @@
         cell = self.cell
         if shard == 0:
             wanted, used = _amount(cell.wanted[0]), _amount(cell.used[0])
-            cell.bank.note_home(TENANT, wanted, used, cell.now)
+            cell.bank.update_home_demand(TENANT, wanted, used, cell.now)
             return
-        request = cell.keep(shard)
+        request = cell.next_request(shard)
         if request is not None:
             self._send(self._lend, request, is_calm=is_calm)
 
@@ -271,7 +273,7 @@
         amount = self.cell.lend(request)
         self._send(self._granted, request, amount)
 
-    def _granted(self, request: QuotaRequest, amount: Needs) -> None:
+    def _granted(self, request: QuotaRequest, amount: ResourceVector) -> None:
         borrower = self.cell.borrowers[request.shard]
         if borrower._token == request.token:
             borrower.handle_granted(request, amount, self.cell.now)
@@ -284,7 +286,11 @@
 
 
 def _any_order(
-    bank: QuotaBank, request: QuotaRequest, quota: Needs, used: Needs, now: float
+    bank: QuotaLender,
+    request: QuotaRequest,
+    quota: ResourceVector,
+    used: ResourceVector,
+    now: float,
 ) -> Any:
     account = bank._accounts.get(request.tenant)
     loan = account.loans.get(request.shard) if account is not None else None
@@ -294,7 +300,12 @@
 
 
 def _goes_on_using(
-    borrower: QuotaBorrower, tenant: str, credit: Any, target: Needs, used: Needs, now: float
+    borrower: QuotaBorrower,
+    tenant: str,
+    credit: Any,
+    target: ResourceVector,
+    used: ResourceVector,
+    now: float,
 ) -> QuotaRequest:
     before = credit.amount
     request = _ASK(borrower, tenant, credit, target, used, now)
@@ -303,13 +314,19 @@
 
 
 def _keeps_nothing(
-    bank: QuotaBank, request: QuotaRequest, quota: Needs, used: Needs, now: float
-) -> Needs:
-    return _REQUEST(bank, msgspec.structs.replace(request, kept=Needs()), quota, used, now)
+    bank: QuotaLender,
+    request: QuotaRequest,
+    quota: ResourceVector,
+    used: ResourceVector,
+    now: float,
+) -> ResourceVector:
+    return _REQUEST(
+        bank, msgspec.structs.replace(request, retained=ResourceVector()), quota, used, now
+    )
 
 
 def _offers_nothing(
-    borrower: QuotaBorrower, request: QuotaRequest, amount: Needs, now: float
+    borrower: QuotaBorrower, request: QuotaRequest, amount: ResourceVector, now: float
 ) -> bool:
     has_grown = _GRANTED(borrower, request, amount, now)
     credit = borrower._credits.get(request.tenant)
@@ -318,26 +335,26 @@
     return has_grown
 
 
-_REQUEST = QuotaBank.request
+_REQUEST = QuotaLender.request
 _ASK = QuotaBorrower._ask
 _GRANTED = QuotaBorrower.handle_granted
 MUTATIONS: dict[str, Any] = {
     "with every mechanism": ExitStack,
     "without loans on record before they are told": lambda: mock.patch.object(
-        QuotaBank, "encode", lambda _bank, _tenant: b""
+        QuotaLender, "encode", lambda _bank, _tenant: b""
     ),
-    "without an order of requests": lambda: mock.patch.object(QuotaBank, "request", _any_order),
+    "without an order of requests": lambda: mock.patch.object(QuotaLender, "request", _any_order),
     "without ceasing to use what is returned": lambda: mock.patch.object(
         QuotaBorrower, "_ask", _goes_on_using
     ),
     "without leaving borrowers what they keep": lambda: mock.patch.object(
-        QuotaBank, "request", _keeps_nothing
+        QuotaLender, "request", _keeps_nothing
     ),
     "without an offer of what is unused": lambda: mock.patch.object(
         QuotaBorrower, "handle_granted", _offers_nothing
     ),
     "without counting what is lent": lambda: mock.patch.object(
-        QuotaBank, "lent", lambda _bank, _tenant: Needs()
+        QuotaLender, "lent", lambda _bank, _tenant: ResourceVector()
     ),
 }
 
--- a/features/steps/room_steps.py
+++ b/features/steps/room_steps.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from onyxspoke.core.jobs.amounts import minus, plus
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.progress import JobProgress
+from onyxspoke.core.jobs.resource_vectors import add_vectors, subtract_vectors
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerRecord
 from onyxspoke.core.placement.workers import Worker
@@ -25,8 +25,8 @@
 MAXIMUM_RUNS = 12
 
 
-def _capacity(cores: int) -> Needs:
-    return Needs(cores * CORE, MEMORY_MB, 0)
+def _capacity(cores: int) -> ResourceVector:
+    return ResourceVector(cores * CORE, MEMORY_MB, 0)
 
 
 @given("a cell of {count:d} workers of {cores:d} cores whose tasks take 1 second")
@@ -71,7 +71,7 @@
     assert context.cluster.audit.counts["starts"] == 0, context.cluster.audit.counts
 
 
-def _make_runs(worker: Worker, needs: list[Needs]) -> list[Run]:
+def _make_runs(worker: Worker, needs: list[ResourceVector]) -> list[Run]:
     runs = []
     queue = QueuePolicy(name="normal", service="s")
     for number, amount in enumerate(needs):
@@ -87,7 +87,9 @@
     return runs
 
 
-_amounts = st.builds(Needs, st.integers(0, 20_000), st.integers(0, 40_000), st.integers(0, 4))
+_amounts = st.builds(
+    ResourceVector, st.integers(0, 20_000), st.integers(0, 40_000), st.integers(0, 4)
+)
 _changes = st.one_of(_amounts, st.integers(0, MAXIMUM_RUNS - 1))
 
 
@@ -100,14 +102,14 @@
         st.lists(_amounts, min_size=MAXIMUM_RUNS, max_size=MAXIMUM_RUNS),
         st.lists(_changes, max_size=40),
     )
-    def play(needs: list[Needs], changes: list[Needs | int]) -> None:
+    def play(needs: list[ResourceVector], changes: list[ResourceVector | int]) -> None:
         record = WorkerRecord(
             worker_id="w1", host="h", port=1, service="s", zone="z", capacity=_capacity(16)
         )
         worker = Worker(record, 0.0)
         runs = _make_runs(worker, needs)
         for change in changes:
-            if isinstance(change, Needs):
+            if isinstance(change, ResourceVector):
                 worker.record = replace(worker.record, capacity=change)
             elif runs[change].key in worker.runs:
                 worker.remove(runs[change])
@@ -121,13 +123,13 @@
 
 def _compare(worker: Worker) -> None:
     """Hold the derived room against a naive sum."""
-    held = Needs()
+    held = ResourceVector()
     for run in worker.runs.values():
-        held = plus(held, run.task.step.spec.needs)
-    free = minus(worker.record.capacity, held)
+        held = add_vectors(held, run.task.step.spec.needs)
+    free = subtract_vectors(worker.record.capacity, held)
     assert (worker.free_processors, worker.free_memory, worker.free_accelerators) == free
     assert worker.is_over_capacity == (min(free) < 0)
-    assert not worker.fits(Needs(1, 1, 1)) or min(free) > 0
+    assert not worker.fits(ResourceVector(1, 1, 1)) or min(free) > 0
 
 
 @then("their free room was always the capacity in force less what their runs hold")
--- a/features/steps/shard_steps.py
+++ b/features/steps/shard_steps.py
@@ -7,7 +7,7 @@
 
 from behave import given, then, when
 
-from onyxspoke.core.jobs.model import JobSpec, Needs, StepSpec
+from onyxspoke.core.jobs.model import JobSpec, ResourceVector, StepSpec
 from onyxspoke.core.placement.worker_record import WorkerRecord
 from onyxspoke.core.shard.calls import CallReply, ReplyCode, SubmitCall, WaitingCountCall
 from onyxspoke.core.shard.election_actions import NodeIdentity
@@ -31,7 +31,7 @@
         port=1,
         service="service",
         zone="zone",
-        capacity=Needs(1, 1, 0),
+        capacity=ResourceVector(1, 1, 0),
         rack=rack,
     )
 
--- a/features/steps/slow_store_steps.py
+++ b/features/steps/slow_store_steps.py
@@ -141,13 +141,13 @@
 
 @when("two appends are on their way")
 def _two_appends(context: Any) -> None:
-    context.appends = []
+    context.append_queues = []
     for number in (1, 2):
         context.dirty.append(ShardRecord(f"job/{number}", b"accepted"))
         context.commits.after_commit(lambda _now, number=number: context.effects.append(number))
         append = context.commits.next_append(context.now)
         assert append is not None and append.sequence == number
-        context.appends.append((append.sequence, context.now))
+        context.append_queues.append((append.sequence, context.now))
         context.now += 0.06
 
 
@@ -157,22 +157,22 @@
 
     def collect_with_effect(maximum_bytes: int) -> list[ShardRecord]:
         records = collect(maximum_bytes)
-        number = len(context.appends) + 1
+        number = len(context.append_queues) + 1
         context.commits.after_commit(lambda _now: context.effects.append(number))
         return records
 
-    context.appends = []
+    context.append_queues = []
     context.commits.collect = collect_with_effect
     for number in (1, 2):
         context.dirty.append(ShardRecord(f"job/{number}", b"ended"))
         append = context.commits.next_append(context.now)
         assert append is not None and append.sequence == number
-        context.appends.append((append.sequence, context.now))
+        context.append_queues.append((append.sequence, context.now))
         context.now += 0.06
 
 
 def _answer(context: Any, number: int, outcome: AppendOutcome) -> bool:
-    sequence, sent_at = context.appends[number - 1]
+    sequence, sent_at = context.append_queues[number - 1]
     result = AppendResult(outcome, call_seconds=0.2)
     context.is_held = context.commits.handle_result(sequence, sent_at, result, context.now)
     return bool(context.is_held)
@@ -207,7 +207,7 @@
     context.now += 0.2
     again = context.commits.next_append(context.now)
     assert again is not None and again.sequence == 2, again
-    context.appends[1] = (again.sequence, context.now)
+    context.append_queues[1] = (again.sequence, context.now)
 
 
 @then("the shard is still held")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from onyxspoke.core.jobs.model import Needs, RunKey, StepSpec, TaskKey
+from onyxspoke.core.jobs.model import ResourceVector, RunKey, StepSpec, TaskKey
 from onyxspoke.core.jobs.states import RunEnd
 from onyxspoke.core.placement.worker_record import WorkerRecord
 from onyxspoke.node.settings import Address
@@ -41,7 +41,7 @@
         port=1,
         service="service",
         zone="zone",
-        capacity=Needs(1_000, 1_000, 0),
+        capacity=ResourceVector(1_000, 1_000, 0),
     )
     _tell(context, "workers", events.WorkerBorn(at, record))
     context.soak_run_number += 1
@@ -84,7 +84,7 @@
 @when('"workers" tell of a lapse on worker "{worker}" at {at:f}')
 def _lapse(context, worker, at):
     run = context.soak_runs[worker]
-    _tell(context, "workers", events.RunEnded(at, worker, run, RunEnd.LAPSED))
+    _tell(context, "workers", events.RunEnded(at, worker, run, RunEnd.LEASE_EXPIRED))
 
 
 @when('"{name}" have told everything until {at:f}')
--- a/features/steps/tenant_key_steps.py
+++ b/features/steps/tenant_key_steps.py
@@ -15,7 +15,7 @@
 from onyxspoke.core.jobs.records import decode_progress, decode_spec
 from onyxspoke.core.jobs.states import JobState
 from onyxspoke.core.routing import RouteEntry
-from onyxspoke.core.tenants.keys import Credential, KeyRing, judge_key
+from onyxspoke.core.tenants.keys import Credential, KeyRing, check_key
 from onyxspoke.core.tenants.policy import TenantPolicy
 from onyxspoke.platform.configuration import decode_configuration
 from onyxspoke.ports.configuration import CellConfiguration
@@ -37,8 +37,10 @@
 @then('a call with the key "{key}", {age:g} s after the last proof, {looked}, is "{verdict}"')
 @then('a call with the key "", {age:g} s after the last proof, {looked}, is "{verdict}"')
 def _verdict(context: Any, age: float, looked: str, verdict: str, key: str = "") -> None:
-    was_looked_at = looked == "after a look"
-    found = judge_key(Credential(key), context.ring, age, TRUSTED_SECONDS, was_looked_at)
+    was_configuration_refreshed = looked == "after a look"
+    found = check_key(
+        Credential(key), context.ring, age, TRUSTED_SECONDS, was_configuration_refreshed
+    )
     assert found.value == verdict, found
 
 
--- a/features/steps/tenant_steps.py
+++ b/features/steps/tenant_steps.py
@@ -15,15 +15,15 @@
 from job_directed_steps import SETTLE_SECONDS
 
 from onyxspoke.cli import step_commands
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy, StepSpec
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector, StepSpec
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.placement.queue_order import step_rank_in_queue
 from onyxspoke.core.shard import quota_coordinator
 from onyxspoke.core.shard.actions import JobEnded
 from onyxspoke.core.shard.calls import CallReply, ReplyCode, StateCall, SubmitCall
-from onyxspoke.core.tenants.ledger import QuotaLedger, QuotaPass
 from onyxspoke.core.tenants.policy import TenantPolicy
-from onyxspoke.core.tenants.shares import ShareMeter
+from onyxspoke.core.tenants.quota_usage import QuotaBudget, QuotaUsage
+from onyxspoke.core.tenants.share_meter import ShareMeter
 from onyxspoke.kit.jobs.audit import Violation
 from onyxspoke.kit.jobs.workers import WorkOptions
 from onyxspoke.node.metrics import NodeMetrics
@@ -36,7 +36,7 @@
 )
 
 TENANTS = tuple(
-    TenantPolicy(name=name, weight=100.0, quota=Needs(processors, 0, 0))
+    TenantPolicy(name=name, weight=100.0, quota=ResourceVector(processors, 0, 0))
     for name, processors in (("large", 0), ("small", 2 * WORKER_CAPACITY.processors_milli))
 )
 
@@ -46,13 +46,13 @@
 
 @contextmanager
 def _without_count() -> Iterator[None]:
-    with mock.patch.object(QuotaLedger, "add", lambda _ledger, _tenant, _needs: None):
+    with mock.patch.object(QuotaUsage, "add", lambda _ledger, _tenant, _needs: None):
         yield
 
 
 @contextmanager
 def _without_count_in_pass() -> Iterator[None]:
-    with mock.patch.object(QuotaPass, "take", lambda _pass, _tenant, _needs, _count: None):
+    with mock.patch.object(QuotaBudget, "take", lambda _pass, _tenant, _needs, _count: None):
         yield
 
 
@@ -62,7 +62,7 @@
         yield
 
 
-WITHOUT = {
+MECHANISM_DISABLERS = {
     "the count of what runs": _without_count,
     "the count within one pass": _without_count_in_pass,
     "the doubt": _without_doubt,
@@ -93,7 +93,7 @@
     ' without "{mechanism}"'
 )
 def _play_without(context: Any, first: int, last: int, mechanism: str) -> None:
-    with WITHOUT[mechanism]():
+    with MECHANISM_DISABLERS[mechanism]():
         _play(context, first, last)
 
 
@@ -119,7 +119,7 @@
 def _tenant_cluster_without(context: Any, count: int, mechanism: str) -> None:
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    stack.enter_context(WITHOUT[mechanism]())
+    stack.enter_context(MECHANISM_DISABLERS[mechanism]())
     _tenant_cluster(context, count)
 
 
@@ -315,7 +315,7 @@
 def _hands_in_many(context: Any, count: int, seconds: float, shards: int) -> None:
     meter = ShareMeter()
     moments = [seconds * (number + 1) / count for number in range(count)]
-    context.owed = sum(meter.take(context.tenant, shards, 50.0 + at) for at in moments)
+    context.owed = sum(meter.consume(context.tenant, shards, 50.0 + at) for at in moments)
 
 
 @then("{count:d} of them are owed to it")
--- a/src/onyxspoke/core/admission/decider.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -19,7 +19,7 @@
     Verdict,
     VerdictInputs,
 )
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 
 #: A caller is told to come back after so long at least, and at most, in seconds.
@@ -39,7 +39,7 @@
         inputs = _inputs(job, ahead or Ahead(0.0, 0.0), view, now)
         if not job.has_end or job.objective_seconds <= 0.0:
             return Admit(inputs)
-        if job.is_too_wide(view.quotas.get(job.tenant, Needs())):
+        if job.is_too_wide(view.quotas.get(job.tenant, ResourceVector())):
             return Refuse(RefusalReason.TOO_LATE, LONGEST_RETRY_SECONDS, inputs)
         if ahead is None:
             return Admit(inputs)
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -7,15 +7,15 @@
 
 from onyxspoke.core.admission.resource_pool import Ahead, ResourcePool, share_of
 from onyxspoke.core.admission.submitted_job import StepWork, SubmittedJob
-from onyxspoke.core.jobs.amounts import minus, slots_within, times
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks, scale_vector, subtract_vectors
 from onyxspoke.core.tenants.policy import TenantName
 
 
 class FreeRoom(NamedTuple):
     """Room of one worker that nothing holds."""
 
-    room: Needs
+    room: ResourceVector
     labels: tuple[str, ...]
 
 
@@ -29,7 +29,7 @@
         When what waits was looked at, in the holder's seconds.
     pools : dict of str to ResourcePool
         By service; one without workers is not there.
-    quotas : dict of TenantName to Needs
+    quotas : dict of TenantName to ResourceVector
         Of tenants that have one.
     tenant_lanes : dict of TenantName to ResourcePool
         Of those.
@@ -39,11 +39,11 @@
 
     made_at: float
     pools: dict[str, ResourcePool]
-    quotas: dict[TenantName, Needs] = field(default_factory=dict)
+    quotas: dict[TenantName, ResourceVector] = field(default_factory=dict)
     tenant_lanes: dict[TenantName, ResourcePool] = field(default_factory=dict)
     free: dict[str, list[FreeRoom]] = field(default_factory=dict)
     #: What was taken in since and has no room yet, by service.
-    _added: dict[str, Needs] = field(default_factory=dict)
+    _added: dict[str, ResourceVector] = field(default_factory=dict)
 
     def ahead_of(self, job: SubmittedJob) -> Ahead | None:
         """Return when a job could begin, or nothing where that is not known."""
@@ -85,10 +85,10 @@
         own = self.tenant_lanes.get(job.tenant)
         if own is not None:
             own.add(job)
-        added = self._added.get(job.service, Needs())
+        added = self._added.get(job.service, ResourceVector())
         for step in job.steps:
             if step.is_first:
-                added = minus(added, times(step.needs, -step.tasks))
+                added = subtract_vectors(added, scale_vector(step.needs, -step.tasks))
         self._added[job.service] = added
 
     def pushes_promised(self, job: SubmittedJob) -> bool:
@@ -99,7 +99,7 @@
     def has_room_for(self, job: SubmittedJob) -> bool:
         """Return whether every task that a job begins with has room now."""
         workers = self.free.get(job.service, [])
-        taken = self._added.get(job.service, Needs())
+        taken = self._added.get(job.service, ResourceVector())
         return all(
             _fits(step, workers, taken) for step in job.steps if step.is_first
         ) and self._is_within_quota(job)
@@ -115,7 +115,7 @@
         return wanted <= free
 
 
-def _fits(step: StepWork, workers: list[FreeRoom], taken: Needs) -> bool:
+def _fits(step: StepWork, workers: list[FreeRoom], taken: ResourceVector) -> bool:
     """Return whether a step's tasks have room beside what others will take of it."""
     missing = step.tasks
     if any(taken):
@@ -125,13 +125,13 @@
             return False
         if step.label and step.label not in worker.labels:
             continue
-        missing -= slots_within(worker.room, step.needs)
+        missing -= count_fitting_tasks(worker.room, step.needs)
         if missing <= 0:
             return True
     return False
 
 
-def _tasks_displaced(needs: Needs, taken: Needs) -> int:
+def _tasks_displaced(needs: ResourceVector, taken: ResourceVector) -> int:
     """Return for how many tasks there is less room, with so much of it taken."""
     displaced = 0
     for need, amount in zip(needs, taken, strict=True):
--- a/src/onyxspoke/core/admission/load_view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -13,12 +13,12 @@
 from onyxspoke.core.admission.resource_pool import ResourcePool, RoomHeld, share_of
 from onyxspoke.core.admission.submitted_job import low_seconds
 from onyxspoke.core.admission.waiting_work import HORIZONS, WaitingWork
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.expected import Expected
-from onyxspoke.core.jobs.amounts import plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.estimates.expected import DurationEstimate
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import add_vectors
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.forecast import RELIABLE_PROGRESS_PERCENT, remaining_seconds
 from onyxspoke.core.placement.queue_order import (
@@ -35,7 +35,7 @@
 
 _FULL_PERCENT = 100
 
-Expect = Callable[[str, str, int], Expected]
+Expect = Callable[[str, str, int], DurationEstimate]
 
 
 class AwaitedWork(NamedTuple):
@@ -67,7 +67,7 @@
     steps: list[StepProgress]
     table: WorkerTable
     policy: PolicySet
-    durations: Durations
+    durations: DurationEstimator
     stop_seconds: float
     arrivals: ArrivalMeter
     expected_retries: Iterable[AwaitedWork] = ()
@@ -77,7 +77,7 @@
     """A step that waits: seconds of work of each task, and of waiting that it can bear."""
 
     rank: StepRank
-    needs: Needs
+    needs: ResourceVector
     tasks: int
     low_seconds: float
     high_seconds: float
@@ -123,7 +123,7 @@
         slack = math.inf
         if placed_rank.lateness is Lateness.LATE:
             expires_at = step.due_at + EXPIRY_FACTOR * step.job.expected_objective_seconds
-            slack = expires_at - step.expected_chain_seconds - self._now
+            slack = expires_at - step.expected_remaining_path_seconds - self._now
         low, high = low_seconds(expected), max(0.0, expected.upper_seconds)
         waiting = _Waiting(rank, needs, len(step.waiting), low, high, slack)
         if spec.tenant in self._quotas:
@@ -183,7 +183,9 @@
     def _free_room(self, service: str) -> list[FreeRoom]:
         free = []
         for worker in self._load.table.offered(service):
-            room = Needs(worker.free_processors, worker.free_memory, worker.free_accelerators)
+            room = ResourceVector(
+                worker.free_processors, worker.free_memory, worker.free_accelerators
+            )
             if room.processors_milli > 0 or not worker.record.capacity.processors_milli:
                 free.append(FreeRoom(room, worker.record.labels))
         free.sort(key=lambda worker: -worker.room.processors_milli)
@@ -203,10 +205,10 @@
             )
         return pools
 
-    def _held_on(self, workers: list[Worker], total: Needs) -> list[RoomHeld]:
+    def _held_on(self, workers: list[Worker], total: ResourceVector) -> list[RoomHeld]:
         return [self._held(run, total) for worker in workers for run in worker.runs.values()]
 
-    def _held(self, run: Run, total: Needs) -> RoomHeld:
+    def _held(self, run: Run, total: ResourceVector) -> RoomHeld:
         spec = run.task.step.spec
         queue = self._load.policy.queue_of(run.task.step.job.spec)
         seconds = self._seconds_left(run)
@@ -258,12 +260,12 @@
 
 
 def _line_work(
-    steps: list[_Waiting], total: Needs
+    steps: list[_Waiting], total: ResourceVector
 ) -> tuple[list[WaitingWork], dict[RankClass, list[LateWork]]]:
     """Return what waits as shares of what there is, and what of it is late."""
     works = []
     late: dict[RankClass, list[LateWork]] = {}
-    shares: dict[Needs, float] = {}
+    shares: dict[ResourceVector, float] = {}
     for rank, needs, tasks, low, high, slack in steps:
         share = shares.get(needs)
         if share is None:
@@ -275,11 +277,11 @@
     return works, late
 
 
-def _remember(durations: Durations) -> Expect:
+def _remember(durations: DurationEstimator) -> Expect:
     """Return what expects how long tasks take, and asks once about those that are alike."""
-    known: dict[tuple[str, str, int], Expected] = {}
+    known: dict[tuple[str, str, int], DurationEstimate] = {}
 
-    def expect(queue: str, tenant: str, estimated_ms: int) -> Expected:
+    def expect(queue: str, tenant: str, estimated_ms: int) -> DurationEstimate:
         key = (queue, tenant, estimated_ms)
         expected = known.get(key)
         if expected is None:
@@ -289,8 +291,8 @@
     return expect
 
 
-def _sum_capacity(workers: list[Worker]) -> Needs:
-    total = Needs()
+def _sum_capacity(workers: list[Worker]) -> ResourceVector:
+    total = ResourceVector()
     for worker in workers:
-        total = plus(total, worker.record.capacity)
+        total = add_vectors(total, worker.record.capacity)
     return total
--- a/src/onyxspoke/core/admission/resource_pool.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -23,7 +23,7 @@
     WorkAhead,
     horizon_of,
 )
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
 from onyxspoke.core.placement.reservations import MAX_HELD_CAPACITY_SHARE
 
@@ -31,7 +31,7 @@
 USED_SHARE = 1.0 - MAX_HELD_CAPACITY_SHARE
 
 
-def share_of(needs: Needs, total: Needs) -> float:
+def share_of(needs: ResourceVector, total: ResourceVector) -> float:
     """Return the largest share that an amount has of what there is of a resource."""
     share = needs[0] / total[0] if total[0] > 0 else 0.0
     if needs[1] > 0 and total[1] > 0:
@@ -71,7 +71,7 @@
 
     Attributes
     ----------
-    total : Needs
+    total : ResourceVector
         All that there is; what shares are of.
     works : list of WaitingWork
         What waits, in order.
@@ -89,7 +89,7 @@
         Work that waits, comes late, and is still of use.
     """
 
-    total: Needs
+    total: ResourceVector
     works: list[WaitingWork]
     held: list[RoomHeld]
     spare_factor: float = 1.0
--- a/src/onyxspoke/core/admission/submitted_job.py
+++ b/src/onyxspoke/core/admission/submitted_job.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.estimates.expected import Expected
-from onyxspoke.core.jobs.amounts import times
-from onyxspoke.core.jobs.model import JobSpec, Needs, QueuePolicy
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.estimates.expected import DurationEstimate
+from onyxspoke.core.jobs.model import JobSpec, QueuePolicy, ResourceVector
+from onyxspoke.core.jobs.resource_vectors import scale_vector
 from onyxspoke.core.placement.queue_order import (
     CERTAIN_ESTIMATE_SHARE,
     EXPIRY_FACTOR,
@@ -24,13 +24,13 @@
 
     Attributes
     ----------
-    needs : Needs
+    needs : ResourceVector
         Of one task.
     low_seconds, median_seconds, upper_seconds : float
         How long one task takes; the first, at least, where many are summed up.
     """
 
-    needs: Needs
+    needs: ResourceVector
     tasks: int
     low_seconds: float
     median_seconds: float
@@ -85,16 +85,16 @@
         """The holder's second after which its outcome is of no use to its caller."""
         return self.first_submitted_at + EXPIRY_FACTOR * self.objective_seconds
 
-    def is_too_wide(self, quota: Needs) -> bool:
+    def is_too_wide(self, quota: ResourceVector) -> bool:
         """Return whether a quota, of which 0 sets no limit, certainly never lets it run."""
         for step in self.steps:
-            together = times(step.needs, step.tasks) if step.is_gang else step.needs
+            together = scale_vector(step.needs, step.tasks) if step.is_gang else step.needs
             if any(most and need > most for need, most in zip(together, quota, strict=True)):
                 return True
         return False
 
 
-def low_seconds(expected: Expected) -> float:
+def low_seconds(expected: DurationEstimate) -> float:
     """Return how long a task takes at least, as the order of what waits counts it, too."""
     return CERTAIN_ESTIMATE_SHARE * max(0.0, expected.median_seconds)
 
@@ -102,7 +102,7 @@
 def describe_submitted_job(
     spec: JobSpec,
     queue: QueuePolicy,
-    durations: Durations,
+    durations: DurationEstimator,
     first_submitted_at: float,
     *,
     is_timely_retry: bool = False,
@@ -129,7 +129,7 @@
     )
 
 
-def _step_works(spec: JobSpec, durations: Durations) -> list[StepWork]:
+def _step_works(spec: JobSpec, durations: DurationEstimator) -> list[StepWork]:
     works = []
     for step in spec.steps:
         expected = durations.expected(spec.queue.name, spec.tenant, step.estimated_ms)
--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -1,7 +1,7 @@
 """The state of the cell that every entry folds identically from the log.
 
 The fold depends on nothing but the records and their order, so two readers of the
-same prefix agree.  ``seen_at`` is the one local fact: when this reader read a
+same prefix agree.  ``last_seen_at`` is the one local fact: when this reader read a
 member's last batch, on its own monotonic clock.
 """
 
@@ -32,10 +32,10 @@
 from onyxspoke.core.schema import Answer, EntryId, Epoch, JobId, JobSubmission, Offset, WorkerId
 from onyxspoke.core.snapshot import (
     CellSnapshot,
-    HoldingState,
     JobState,
     KeyState,
     MemberState,
+    OwnershipState,
 )
 
 
@@ -50,10 +50,10 @@
     stopping: bool
     last_sequence: int
     last_offset: Offset
-    seen_at: float
+    last_seen_at: float
 
 
-class Holding(msgspec.Struct, frozen=True):
+class WorkerOwnership(msgspec.Struct, frozen=True):
     """Who owns a worker; ``holder`` is empty once it was released."""
 
     holder: EntryId
@@ -68,17 +68,17 @@
 
 
 @dataclass(slots=True)
-class JobEntry:
+class DurableJob:
     """A durable job; ``answer`` is ``None`` until it ended, ``runner`` empty once released.
 
-    ``started`` names the tasks of an unrepeatable job that may have been started.
+    ``started_indexes`` names the tasks of an unrepeatable job that may have been started.
     """
 
     job: JobSubmission
     zone: str
     runner: EntryId
     answer: Answer | None = None
-    started: set[int] = field(default_factory=set)
+    started_indexes: set[int] = field(default_factory=set)
 
 
 class CellLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -91,7 +91,7 @@
     maximum_ended_jobs: int = 5_000
 
 
-UNOWNED = Holding(holder="", epoch=0)
+UNOWNED = WorkerOwnership(holder="", epoch=0)
 
 
 class CellState:
@@ -100,11 +100,11 @@
     def __init__(self, limits: CellLimits) -> None:
         self._limits = limits
         self.members: dict[EntryId, Member] = {}
-        self.holdings: dict[WorkerId, Holding] = {}
+        self.ownerships: dict[WorkerId, WorkerOwnership] = {}
         self.draining: set[WorkerId] = set()
         self.keys: OrderedDict[str, KeyEntry] = OrderedDict()
-        self.jobs: dict[JobId, JobEntry] = {}
-        self.open_jobs: dict[EntryId, dict[JobId, JobEntry]] = {}
+        self.jobs: dict[JobId, DurableJob] = {}
+        self.open_jobs: dict[EntryId, dict[JobId, DurableJob]] = {}
         self._ended_jobs: OrderedDict[JobId, None] = OrderedDict()
         self.applied_offset: Offset = 0
         self._handlers: dict[type, Callable[[Offset, EntryId, Any], None]] = {
@@ -129,24 +129,26 @@
             self._apply_record(offset, batch.writer, record)
         return True
 
-    def holding_of(self, worker_id: WorkerId) -> Holding:
+    def ownership_of(self, worker_id: WorkerId) -> WorkerOwnership:
         """Return who owns a worker."""
-        return self.holdings.get(worker_id, UNOWNED)
+        return self.ownerships.get(worker_id, UNOWNED)
 
-    def live_members(self, zone: str, now: float, lapse_seconds: float) -> list[EntryId]:
+    def live_members(self, zone: str, now: float, member_timeout_seconds: float) -> list[EntryId]:
         """Return the members of a zone that were heard of lately and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
-            if member.zone == zone and not member.stopping and now - member.seen_at < lapse_seconds
+            if member.zone == zone
+            and not member.stopping
+            and now - member.last_seen_at < member_timeout_seconds
         ]
 
-    def all_live_members(self, now: float, lapse_seconds: float) -> list[EntryId]:
+    def all_live_members(self, now: float, member_timeout_seconds: float) -> list[EntryId]:
         """Return the members of all zones that were heard of lately and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
-            if not member.stopping and now - member.seen_at < lapse_seconds
+            if not member.stopping and now - member.last_seen_at < member_timeout_seconds
         ]
 
     def to_snapshot(self) -> CellSnapshot:
@@ -163,18 +165,20 @@
             )
             for member in self.members.values()
         ]
-        holdings = [
-            HoldingState(worker_id, holding.holder, holding.epoch)
-            for worker_id, holding in self.holdings.items()
+        ownerships = [
+            OwnershipState(worker_id, holding.holder, holding.epoch)
+            for worker_id, holding in self.ownerships.items()
         ]
         keys = [KeyState(key, entry.holder, entry.fingerprint) for key, entry in self.keys.items()]
         ended = [self.jobs[job_id] for job_id in self._ended_jobs]
         running = [entry for jobs in self.open_jobs.values() for entry in jobs.values()]
         jobs = [
-            JobState(entry.job, entry.zone, entry.runner, entry.answer, sorted(entry.started))
+            JobState(
+                entry.job, entry.zone, entry.runner, entry.answer, sorted(entry.started_indexes)
+            )
             for entry in [*ended, *running]
         ]
-        return CellSnapshot(members, holdings, sorted(self.draining), keys, jobs)
+        return CellSnapshot(members, ownerships, sorted(self.draining), keys, jobs)
 
     def load_snapshot(self, snapshot: CellSnapshot, covers: Offset, now: float) -> None:
         """Replace the fold; every member counts as heard of now, so none is taken over early."""
@@ -188,12 +192,13 @@
                 stopping=state.stopping,
                 last_sequence=state.last_sequence,
                 last_offset=state.last_offset,
-                seen_at=now,
+                last_seen_at=now,
             )
             for state in snapshot.members
         }
-        self.holdings = {
-            state.worker_id: Holding(state.holder, state.epoch) for state in snapshot.holdings
+        self.ownerships = {
+            state.worker_id: WorkerOwnership(state.holder, state.epoch)
+            for state in snapshot.ownerships
         }
         self.draining = set(snapshot.draining)
         self.keys = OrderedDict(
@@ -204,20 +209,23 @@
 
     def _load_job(self, state: JobState) -> None:
         job_id = state.job.job_id
-        entry = JobEntry(state.job, state.zone, state.runner, state.answer, set(state.started))
+        entry = DurableJob(
+            state.job, state.zone, state.runner, state.answer, set(state.started_indexes)
+        )
         self.jobs[job_id] = entry
         if state.answer is not None:
             self._ended_jobs[job_id] = None
         else:
             self.open_jobs.setdefault(state.runner, {})[job_id] = entry
 
-    def forget_members(self, now: float, forget_seconds: float) -> None:
+    def forget_members(self, now: float, member_retention_seconds: float) -> None:
         """Drop members that hold nothing and have been silent for long."""
-        holders = {holding.holder for holding in self.holdings.values()} | self.open_jobs.keys()
+        holders = {holding.holder for holding in self.ownerships.values()} | self.open_jobs.keys()
         silent = [
             member.entry_id
             for member in self.members.values()
-            if now - member.seen_at > forget_seconds and member.entry_id not in holders
+            if now - member.last_seen_at > member_retention_seconds
+            and member.entry_id not in holders
         ]
         for entry_id in silent:
             del self.members[entry_id]
@@ -234,7 +242,7 @@
             stopping=batch.stopping,
             last_sequence=batch.sequence,
             last_offset=offset,
-            seen_at=now,
+            last_seen_at=now,
         )
         return True
 
@@ -248,18 +256,18 @@
             self._apply_claim(offset, writer, item)
 
     def _apply_claim(self, offset: Offset, writer: EntryId, item: ClaimItem) -> None:
-        current = self.holding_of(item.worker_id)
+        current = self.ownership_of(item.worker_id)
         if current.epoch != item.expected_epoch:
             return
         is_foreign = current.holder not in ("", writer)
         if is_foreign and self.has_appended_since(current.holder, item.holder_renewal_offset):
             return
-        self.holdings[item.worker_id] = Holding(holder=writer, epoch=offset)
+        self.ownerships[item.worker_id] = WorkerOwnership(holder=writer, epoch=offset)
 
     def _apply_release(self, offset: Offset, writer: EntryId, record: WorkerRelease) -> None:
         for worker_id in record.worker_ids:
-            if self.holding_of(worker_id).holder == writer:
-                self.holdings[worker_id] = Holding(holder="", epoch=offset)
+            if self.ownership_of(worker_id).holder == writer:
+                self.ownerships[worker_id] = WorkerOwnership(holder="", epoch=offset)
 
     def _apply_drain(self, _offset: Offset, _writer: EntryId, record: WorkerDrain) -> None:
         if record.draining:
@@ -287,14 +295,14 @@
     def _apply_job_accepted(self, _offset: Offset, writer: EntryId, record: JobAccepted) -> None:
         job_id = record.job.job_id
         if job_id not in self.jobs:
-            entry = JobEntry(record.job, self.members[writer].zone, writer)
+            entry = DurableJob(record.job, self.members[writer].zone, writer)
             self.jobs[job_id] = entry
             self.open_jobs.setdefault(writer, {})[job_id] = entry
 
     def _apply_task_starting(self, _offset: Offset, writer: EntryId, record: TaskStarting) -> None:
         entry = self.jobs.get(record.job_id)
         if entry is not None and entry.runner == writer:
-            entry.started.add(record.task_index)
+            entry.started_indexes.add(record.task_index)
 
     def _apply_job_adopted(self, _offset: Offset, writer: EntryId, record: JobAdopted) -> None:
         entry = self.jobs.get(record.job_id)
@@ -307,15 +315,15 @@
     def _apply_job_released(self, _offset: Offset, writer: EntryId, record: JobReleased) -> None:
         entry = self.jobs.get(record.job_id)
         if entry is not None and entry.answer is None and entry.runner == writer:
-            entry.started.clear()
+            entry.started_indexes.clear()
             self._move_job(record.job_id, entry, "")
 
-    def _move_job(self, job_id: JobId, entry: JobEntry, runner: EntryId) -> None:
+    def _move_job(self, job_id: JobId, entry: DurableJob, runner: EntryId) -> None:
         self._close_job(job_id, entry)
         entry.runner = runner
         self.open_jobs.setdefault(runner, {})[job_id] = entry
 
-    def _close_job(self, job_id: JobId, entry: JobEntry) -> None:
+    def _close_job(self, job_id: JobId, entry: DurableJob) -> None:
         jobs = self.open_jobs[entry.runner]
         del jobs[job_id]
         if not jobs:
--- a/src/onyxspoke/core/context.py
+++ b/src/onyxspoke/core/context.py
@@ -29,7 +29,7 @@
     queue: QueueLimits = QueueLimits()
     cell: CellLimits = CellLimits()
     advertise_interval_seconds: float = 0.2
-    advertise_silence_seconds: float = 1.0
+    maximum_advertise_interval_seconds: float = 1.0
     advertisement_lifetime_seconds: float = 3.0
     plan_interval_seconds: float = 0.25
     reattach_interval_seconds: float = 0.5
@@ -37,7 +37,7 @@
     retry_after_seconds: float = 1.0
     settings_patience_seconds: float = 5.0
     snapshot_interval_seconds: float = 600.0
-    stop_linger_seconds: float = 2.0
+    minimum_stop_seconds: float = 2.0
     maximum_ended_keys: int = 20_000
 
 
@@ -49,7 +49,7 @@
     options: CoreOptions
     cell: CellState
     settings: SettingsTree
-    appends: dict[LogStream, AppendQueue]
+    append_queues: dict[LogStream, AppendQueue]
     workers: WorkerTable
     peers: PeerTable
     queue: WaitingQueue
@@ -60,14 +60,14 @@
     actions: list[Action] = field(default_factory=list)
     lease_until: float = float("-inf")
     log_read_at: float = float("-inf")
-    promised_until: dict[EntryId, float] = field(default_factory=dict)
-    claimed_from: set[EntryId] = field(default_factory=set)
+    holdover_promised_until: dict[EntryId, float] = field(default_factory=dict)
+    takeover_pending_from: set[EntryId] = field(default_factory=set)
     stopping: bool = False
 
     @property
-    def cell_appends(self) -> AppendQueue:
+    def cell_append_queue(self) -> AppendQueue:
         """The appender of the cell stream."""
-        return self.appends[LogStream.CELL]
+        return self.append_queues[LogStream.CELL]
 
     def emit(self, action: Action) -> None:
         """Decide on an action."""
@@ -75,7 +75,7 @@
 
     def log_is_down(self, now: float) -> bool:
         """Return whether the log has not taken our batches for longer than our patience."""
-        return self.cell_appends.failing_for(now) >= self.options.log_patience_seconds
+        return self.cell_append_queue.failing_for(now) >= self.options.log_patience_seconds
 
     def refusal(self, code: ResultCode) -> Answer:
         """Return an answer that gives a request up and says when to come back."""
@@ -93,7 +93,7 @@
         options=options,
         cell=CellState(options.cell),
         settings=SettingsTree(),
-        appends={
+        append_queues={
             LogStream.CELL: AppendQueue(identity, options.append, renews=True),
             LogStream.SETTINGS: AppendQueue(identity, options.append, renews=False),
         },
--- a/src/onyxspoke/core/estimates/durations.py
+++ b/src/onyxspoke/core/estimates/durations.py
@@ -10,8 +10,8 @@
     PROGRESS_SHARE,
     RESOLUTION_SECONDS,
     Observation,
-    RunEvidence,
-    StepEvidence,
+    ObservedRunPace,
+    StepObservations,
     baseline_of,
     compare,
     estimated_seconds,
@@ -22,9 +22,9 @@
     slowest_member,
     tells_nothing,
 )
-from onyxspoke.core.estimates.expected import Expected
+from onyxspoke.core.estimates.expected import DurationEstimate
 from onyxspoke.core.estimates.speeds import Speeds, WorkerSpeed
-from onyxspoke.core.estimates.work import UNLEARNED_WORK, WorkModel
+from onyxspoke.core.estimates.work_model import DEFAULT_WORK_MODEL, WorkModel
 from onyxspoke.core.jobs.states import RunEnd
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
 _MILLISECONDS = 1_000.0
 
 
-class Durations:
+class DurationEstimator:
     """Expects how long tasks take.
 
     Parameters
@@ -56,16 +56,16 @@
         self.tenants: dict[tuple[str, str], WorkModel] = {}
         self.speeds = Speeds()
         #: Since when the holder has been at work without a pause, in its seconds.
-        self.watched_since = -math.inf
+        self.observing_since = -math.inf
         #: Whether something was seen since the last record of it.
-        self.has_news = False
+        self.has_unrecorded_observations = False
         self._refresh_at = 0.0
 
     # What is expected
 
     def expected(
         self, queue: str, tenant: str, estimated_ms: float, worker_id: str = ""
-    ) -> Expected:
+    ) -> DurationEstimate:
         """Return how long a task takes on a worker; on one of usual speed where none is named."""
         seconds = estimated_ms / _MILLISECONDS
         work = self.tenants.get((queue, tenant)) or self.queues.get(queue)
@@ -75,18 +75,20 @@
         upper = seconds * work.upper_factor
         return self._on_worker(seconds * work.factor, upper, evidence, worker_id)
 
-    def _on_worker(self, median: float, upper: float, evidence: float, worker_id: str) -> Expected:
+    def _on_worker(
+        self, median: float, upper: float, evidence: float, worker_id: str
+    ) -> DurationEstimate:
         factor = self.speeds.factor_of(worker_id) if worker_id else 1.0
-        return Expected(median * factor, upper * factor, evidence)
+        return DurationEstimate(median * factor, upper * factor, evidence)
 
-    def work_of(self, queue: str, tenant: str) -> WorkModel:
+    def work_model_for(self, queue: str, tenant: str) -> WorkModel:
         """Return the model that jobs of a queue and tenant share.
 
         It is the queue's where there is no more room for the tenant's.
         """
         if not self._is_learning:
-            return UNLEARNED_WORK
-        return self.find_or_add(queue, tenant) or self.queues.get(queue, UNLEARNED_WORK)
+            return DEFAULT_WORK_MODEL
+        return self.find_or_add(queue, tenant) or self.queues.get(queue, DEFAULT_WORK_MODEL)
 
     def find_or_add(self, queue: str, tenant: str) -> WorkModel | None:
         """Return the model of exactly this work, or ``None`` if there is no room for it."""
@@ -104,11 +106,11 @@
 
     # Lives of workers
 
-    def begin_life(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
+    def begin_incarnation(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
         """Return what is known of a life of a worker that begins, or is first heard of."""
         if not self._is_learning:
             return WorkerSpeed(worker_id, born_ms, kind)
-        return self.speeds.begin_life(worker_id, born_ms, kind, now)
+        return self.speeds.begin_incarnation(worker_id, born_ms, kind, now)
 
     def forget_worker(self, worker_id: str) -> None:
         """Drop what is known of a worker that is gone."""
@@ -116,34 +118,34 @@
 
     # What was seen
 
-    def note_progress(self, run: Run, now: float) -> None:
+    def observe_progress(self, run: Run, now: float) -> None:
         """A worker reports how far a run is."""
         if not self._is_learning or run.percent < FIRST_PERCENT or run.gang is not None:
             return
-        if tells_nothing(run, self.watched_since):
+        if tells_nothing(run, self.observing_since):
             return
         if run.evidence is not None:
             change = run.evidence.take_change(run.percent, now)
             if change is not None:
                 # Tasks keep their pace, so it is the worker that has changed.
                 run.worker.speed.note_change(run.evidence.speed_log + change, now)
-                self.has_news = True
+                self.has_unrecorded_observations = True
             return
         seconds = projected_seconds(run, now)
         ratio = log_ratio(seconds, estimated_seconds(run))
         if ratio is None or now - run.confirmed_at <= RESOLUTION_SECONDS:
             return
-        run.evidence = RunEvidence(seconds, run.percent, now, run.worker.speed.log)
+        run.evidence = ObservedRunPace(seconds, run.percent, now, run.worker.speed.log)
         self._take(run, ratio, PROGRESS_SHARE, now)
 
-    def note_end(self, run: Run, end: RunEnd, now: float) -> None:
+    def observe_run_end(self, run: Run, end: RunEnd, now: float) -> None:
         """A worker lists the end of a run."""
         if not self._is_learning or end is not RunEnd.DONE or not is_end_certain(run, now):
             return
         if run.gang is not None:
             self._note_gang_end(run.gang, now)
             return
-        if tells_nothing(run, self.watched_since):
+        if tells_nothing(run, self.observing_since):
             return
         ratio = log_ratio(now - run.confirmed_at, estimated_seconds(run))
         if ratio is not None:
@@ -154,7 +156,7 @@
         """Divide what a run told between its job's work and its worker."""
         step = run.task.step
         if step.evidence is None:
-            step.evidence = StepEvidence()
+            step.evidence = StepObservations()
         speed = run.worker.speed
         usual = ratio - speed.log
         step.evidence.note(Observation(run.task.index, speed, ratio, share))
@@ -163,7 +165,7 @@
         tasks = len(step.tasks) * len(step.job.spec.steps)
         self._note_work(step.job.work, usual, share / tasks, now)
 
-    def _compare_waiting(self, step: StepProgress, evidence: StepEvidence, now: float) -> None:
+    def _compare_waiting(self, step: StepProgress, evidence: StepObservations, now: float) -> None:
         """Tell workers by what their runs took beside others' of the same step."""
         waiting, evidence.waiting = evidence.waiting, []
         for seen in waiting:
@@ -181,7 +183,7 @@
         if gang.is_duration_recorded:
             return
         gang.is_duration_recorded = True
-        if gang_tells_nothing(gang, self.watched_since):
+        if gang_tells_nothing(gang, self.observing_since):
             return
         began = max(member.confirmed_at for member in gang.members)
         seconds = now - began
@@ -197,13 +199,13 @@
         self._note_work(job.work, ratio - slowest_log, 1.0 / len(job.spec.steps), now)
 
     def _note_work(self, work: WorkModel, usual: float, weight: float, now: float) -> None:
-        self.has_news = True
-        if work is not UNLEARNED_WORK:
+        self.has_unrecorded_observations = True
+        if work is not DEFAULT_WORK_MODEL:
             work.note(usual, weight, now)
 
     # Time
 
-    def keep(self, now: float) -> bool:
+    def refresh_if_due(self, now: float) -> bool:
         """Work the factors out anew if that is due; return whether it was."""
         if not self._is_learning or now < self._refresh_at:
             return False
--- a/src/onyxspoke/core/estimates/evidence.py
+++ b/src/onyxspoke/core/estimates/evidence.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxspoke.core.estimates.speeds import WorkerSpeed
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 from onyxspoke.core.jobs.states import RunState
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
 _HALF_PERCENT = 0.5
 
 
-class RunEvidence:
+class ObservedRunPace:
     """How a run went so far: its pace, and where it was at the last look."""
 
     __slots__ = ("_changes", "at", "percent", "speed_log", "whole_seconds")
@@ -91,7 +91,7 @@
     share: float
 
 
-class StepEvidence:
+class StepObservations:
     """How the tasks of one step compared with their estimate, less their workers' speeds.
 
     Attributes
@@ -137,12 +137,12 @@
     return run.task.step.spec.estimated_ms / _MILLISECONDS
 
 
-def tells_nothing(run: Run, watched_since: float) -> bool:
+def tells_nothing(run: Run, observing_since: float) -> bool:
     """Return whether a run's times say nothing of its estimate or its worker.
 
     Parameters
     ----------
-    watched_since : float
+    observing_since : float
         Since when this holder has been at work without a pause.
     """
     spec = run.task.step.spec
@@ -154,14 +154,14 @@
         or run.is_resumed
         or not run.ordered_at
         or not run.confirmed_at
-        or run.confirmed_at < watched_since
+        or run.confirmed_at < observing_since
         or run.pace_percent != _FULL_PERCENT
         or run.ordered_pace_percent != _FULL_PERCENT
         or _is_far(run)
     )
 
 
-def gang_tells_nothing(gang: GangRun, watched_since: float) -> bool:
+def gang_tells_nothing(gang: GangRun, observing_since: float) -> bool:
     """Return whether a gang's time says nothing: it was broken, or data or members were far."""
     members = gang.members
     if gang.is_broken or len(members) < len(gang.step.tasks):
@@ -169,7 +169,7 @@
     racks = {member.worker.record.rack for member in members}
     if gang.step.spec.same_rack and len(racks) > 1:
         return True
-    return any(tells_nothing(member, watched_since) for member in members)
+    return any(tells_nothing(member, observing_since) for member in members)
 
 
 def _is_far(run: Run) -> bool:
@@ -197,7 +197,7 @@
     return ratio if abs(ratio) <= math.log(ABSURD_FACTOR) else None
 
 
-def compare(step: StepProgress, evidence: StepEvidence, worker_id: str) -> Baseline | None:
+def compare(step: StepProgress, evidence: StepObservations, worker_id: str) -> Baseline | None:
     """Return what to compare a run on a worker with; ``None`` if there is not enough yet.
 
     Siblings elsewhere share the job's own length, so that they tell more than the queue, which is
--- a/src/onyxspoke/core/estimates/expected.py
+++ b/src/onyxspoke/core/estimates/expected.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class Expected(NamedTuple):
+class DurationEstimate(NamedTuple):
     """Seconds that a task takes: the median, an upper quantile, and how many runs told them.
 
     Without evidence both are the caller's estimate.
--- a/src/onyxspoke/core/estimates/record.py
+++ b/src/onyxspoke/core/estimates/record.py
@@ -10,10 +10,10 @@
 import msgspec
 from msgspec import Meta
 
-from onyxspoke.core.estimates.durations import Durations
+from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.estimates.sketch import LARGEST_WEIGHT, REACH
 from onyxspoke.core.estimates.speeds import LARGEST_EVIDENCE, KeptSpeed, WorkerSpeed
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 
 RECORD_VERSION = 1
 #: Bytes of the record at most: so many of queues and tenants, ...
@@ -68,7 +68,7 @@
 _decoder = msgspec.msgpack.Decoder(EstimatesRecord)
 
 
-def encode_estimates(durations: Durations, now: float) -> bytes:
+def encode_estimates(durations: DurationEstimator, now: float) -> bytes:
     """Return the record; where it would be too long, what rests on most evidence stands in it."""
     works = sorted(
         [*durations.queues.values(), *durations.tenants.values()],
@@ -88,7 +88,7 @@
     return _encoder.encode(record)
 
 
-def restore_estimates(durations: Durations, data: bytes, now: float) -> None:
+def restore_estimates(durations: DurationEstimator, data: bytes, now: float) -> None:
     """Take over what a former holder knew; raise :class:`EstimatesRecordError`."""
     try:
         record = _decoder.decode(data)
--- a/src/onyxspoke/core/estimates/report.py
+++ b/src/onyxspoke/core/estimates/report.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from onyxspoke.core.estimates.durations import Durations
+from onyxspoke.core.estimates.durations import DurationEstimator
 from onyxspoke.core.estimates.speeds import WorkerSpeed
-from onyxspoke.core.estimates.work import WorkModel
+from onyxspoke.core.estimates.work_model import WorkModel
 
 #: A factor that changed by less than this share since it was last told is not told again.
 TOLD_CHANGE_SHARE = 0.2
@@ -66,12 +66,12 @@
     worker_id: str
     kind: str
     factor: float
-    former: float
+    previous_factor: float
     upper: float
     evidence: float
 
 
-def describe_estimates(durations: Durations, now: float) -> EstimatesReport:
+def describe_estimates(durations: DurationEstimator, now: float) -> EstimatesReport:
     """Return what is known, by name."""
     works = [
         WorkLine(
@@ -98,7 +98,7 @@
     return EstimatesReport(works=works, workers=workers)
 
 
-def take_changes(durations: Durations, now: float) -> list[FactorChange]:
+def take_factor_changes(durations: DurationEstimator, now: float) -> list[FactorChange]:
     """Return the factors that changed much since they were last told, some at a time."""
     changes: list[FactorChange] = []
     for work in [*durations.queues.values(), *durations.tenants.values()]:
@@ -123,7 +123,7 @@
         worker_id="",
         kind="",
         factor=work.factor,
-        former=work.told_factor,
+        previous_factor=work.told_factor,
         upper=work.upper_factor,
         evidence=work.evidence(now),
     )
@@ -136,7 +136,7 @@
         worker_id=speed.worker_id,
         kind=speed.kind,
         factor=speed.factor,
-        former=speed.told_factor,
+        previous_factor=speed.told_factor,
         upper=speed.factor,
         evidence=speed.evidence(now),
     )
--- a/src/onyxspoke/core/estimates/speeds.py
+++ b/src/onyxspoke/core/estimates/speeds.py
@@ -121,7 +121,7 @@
         """Take over what a former holder knew, for workers that are yet to be listed."""
         self._kept = kept
 
-    def begin_life(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
+    def begin_incarnation(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
         """Return what is known of a life that begins, or is first heard of: its kind's speed."""
         speed = WorkerSpeed(worker_id, born_ms, kind)
         kept = self._kept.pop(worker_id, None)
--- a/src/onyxspoke/core/estimates/work.py
+++ b/src/onyxspoke/core/estimates/work_model.py
@@ -113,9 +113,9 @@
 
 
 #: Of work of which nothing is learned.
-UNLEARNED_WORK = WorkModel("")
+DEFAULT_WORK_MODEL = WorkModel("")
 
 
-def unlearned_work(_queue: str, _tenant: str) -> WorkModel:
+def default_work_model(_queue: str, _tenant: str) -> WorkModel:
     """Return the model of work of which nothing is learned."""
-    return UNLEARNED_WORK
+    return DEFAULT_WORK_MODEL
--- a/src/onyxspoke/core/holdover.py
+++ b/src/onyxspoke/core/holdover.py
@@ -49,21 +49,23 @@
     def handle_request(self, peer_id: EntryId, round_number: int, now: float) -> None:
         """Promise not to claim a peer's workers or jobs, unless a claim is being recorded."""
         context = self._context
-        if peer_id in context.claimed_from:
+        if peer_id in context.takeover_pending_from:
             return
-        context.promised_until[peer_id] = now + context.options.lease.lapse_seconds
+        context.holdover_promised_until[peer_id] = (
+            now + context.options.lease.member_timeout_seconds
+        )
         context.emit(GrantHoldover(peer_id, round_number))
 
     def _zone_members(self) -> list[EntryId]:
         """Return the other zone members that were live at the last read of the log."""
         context = self._context
-        oldest_live_seen_at = context.log_read_at - context.options.lease.lapse_seconds
+        oldest_live_seen_at = context.log_read_at - context.options.lease.member_timeout_seconds
         return [
             member.entry_id
             for member in context.cell.members.values()
             if member.zone == context.identity.zone
             and member.entry_id != context.identity.entry_id
-            and member.seen_at > oldest_live_seen_at
+            and member.last_seen_at > oldest_live_seen_at
             and not member.stopping
         ]
 
--- a/src/onyxspoke/core/job_acceptance.py
+++ b/src/onyxspoke/core/job_acceptance.py
@@ -43,7 +43,7 @@
             return None
         record = JobAccepted(job)
         self._pending_acceptances[job.job_id] = PendingAcceptance(record, deadline, [request_id])
-        self._context.cell_appends.add(record)
+        self._context.cell_append_queue.add(record)
         return None
 
     def handle_read(self, job_id: JobId) -> list[tuple[str, Answer]]:
@@ -65,7 +65,7 @@
         for job_id, pending in list(self._pending_acceptances.items()):
             if now < pending.deadline and not self._context.log_is_down(now):
                 continue
-            if self._context.cell_appends.withdraw(pending.record):
+            if self._context.cell_append_queue.withdraw(pending.record):
                 is_keyed = bool(pending.record.job.request.idempotency_key)
                 answer = self._context.refusal(
                     ResultCode.KEY_STATE_UNKNOWN if is_keyed else ResultCode.LOG_UNAVAILABLE
--- a/src/onyxspoke/core/job_recovery.py
+++ b/src/onyxspoke/core/job_recovery.py
@@ -40,7 +40,7 @@
 
     def begin(self, job_id: JobId, now: float) -> None:
         """Schedule the recovery of a job, after the member timeout."""
-        self._probe_not_before[job_id] = now + self._context.options.lease.lapse_seconds
+        self._probe_not_before[job_id] = now + self._context.options.lease.member_timeout_seconds
 
     def forget(self, job_id: JobId) -> None:
         """Cancel the recovery of a job that another entry has adopted, or that ended."""
@@ -130,11 +130,11 @@
     def _zone_peer_ids(self, now: float) -> list[EntryId]:
         """Return the other entries of the zone that may own workers, reachable or not."""
         context = self._context
-        lapse_seconds = context.options.lease.lapse_seconds
+        member_timeout_seconds = context.options.lease.member_timeout_seconds
         return sorted(
             member.entry_id
             for member in context.cell.members.values()
             if member.zone == context.identity.zone
             and member.entry_id != context.identity.entry_id
-            and now - member.seen_at < lapse_seconds
+            and now - member.last_seen_at < member_timeout_seconds
         )
--- a/src/onyxspoke/core/job_runner.py
+++ b/src/onyxspoke/core/job_runner.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from onyxspoke.core.actions import PassTaskAnswer
-from onyxspoke.core.cell_state import JobEntry
+from onyxspoke.core.cell_state import DurableJob
 from onyxspoke.core.codes import ResultCode
 from onyxspoke.core.context import EntryContext
 from onyxspoke.core.job_recovery import JobRecovery
@@ -34,7 +34,7 @@
 class JobProgress:
     """A job that this entry runs; ``launched`` holds the tasks queued or found running."""
 
-    entry: JobEntry
+    entry: DurableJob
     launched: set[int] = field(default_factory=set)
     answers: dict[int, Answer] = field(default_factory=dict)
 
@@ -71,7 +71,7 @@
             return
         del self._running[origin.job_id]
         self.recovery.forget(origin.job_id)
-        self._context.cell_appends.add(JobEnded(origin.job_id, _combine_answers(progress)))
+        self._context.cell_append_queue.add(JobEnded(origin.job_id, _combine_answers(progress)))
 
     def handle_start_read(self, record: TaskStarting, now: float) -> None:
         """Queue a task whose start is recorded, if this entry still runs the job."""
@@ -129,7 +129,7 @@
             for index in range(progress.entry.job.task_count):
                 if index in progress.answers or index in progress.launched:
                     continue
-                if index in progress.entry.started:
+                if index in progress.entry.started_indexes:
                     # The task may have finished on a worker whose report was lost.
                     self.handle_task_answer(
                         JobOrigin(job_id, index), Answer(code=ResultCode.WORKER_LOST)
@@ -154,7 +154,7 @@
             for request in requests:
                 assert request is not None
                 self._dispatcher.abandon(request)
-            self._context.cell_appends.add(JobReleased(job_id))
+            self._context.cell_append_queue.add(JobReleased(job_id))
 
     def cancel(self, job_id: JobId, now: float) -> bool:
         """Cancel the tasks of a job; return whether this entry runs the job."""
@@ -167,7 +167,7 @@
                 self._dispatcher.cancel(request, now)
         return True
 
-    def _is_runner(self, entry: JobEntry | None) -> bool:
+    def _is_runner(self, entry: DurableJob | None) -> bool:
         return entry is not None and entry.runner == self._context.identity.entry_id
 
     def _pass_on(self, origin: JobOrigin, answer: Answer) -> None:
@@ -180,14 +180,14 @@
 
     def _adopt(self, now: float) -> None:
         context = self._context
-        lapse_seconds = context.options.lease.lapse_seconds
-        live = context.cell.live_members(context.identity.zone, now, lapse_seconds)
+        member_timeout_seconds = context.options.lease.member_timeout_seconds
+        live = context.cell.live_members(context.identity.zone, now, member_timeout_seconds)
         if context.identity.entry_id not in live:
             return
         for runner, entries in context.cell.open_jobs.items():
             member = context.cell.members.get(runner)
-            timed_out = member is None or now - member.seen_at > lapse_seconds
-            if not timed_out or now < context.promised_until.get(runner, now):
+            timed_out = member is None or now - member.last_seen_at > member_timeout_seconds
+            if not timed_out or now < context.holdover_promised_until.get(runner, now):
                 continue
             offset = 0 if member is None else member.last_offset
             for job_id, entry in entries.items():
@@ -200,10 +200,10 @@
         if preferred(job_id, live) != self._context.identity.entry_id:
             return
         self._pending_adoptions.add(job_id)
-        self._context.claimed_from.add(runner)
-        self._context.cell_appends.add(JobAdopted(job_id, runner, offset))
+        self._context.takeover_pending_from.add(runner)
+        self._context.cell_append_queue.add(JobAdopted(job_id, runner, offset))
 
-    def _start(self, entry: JobEntry, now: float) -> None:
+    def _start(self, entry: DurableJob, now: float) -> None:
         job_id = entry.job.job_id
         progress = self._running.setdefault(job_id, JobProgress(entry))
         for index in range(entry.job.task_count):
@@ -226,7 +226,7 @@
             self._dispatcher.place_or_queue(request, now)
         else:
             request.transition(RequestState.WAITING_FOR_LOG)
-            self._context.cell_appends.add(TaskStarting(job.job_id, index))
+            self._context.cell_append_queue.add(TaskStarting(job.job_id, index))
 
 
 def _combine_answers(progress: JobProgress) -> Answer:
--- a/src/onyxspoke/core/jobs/crashes.py
+++ b/src/onyxspoke/core/jobs/crashes.py
@@ -25,17 +25,19 @@
 TOTAL_TO_SUSPECT = 2
 
 
-class Blame(Enum):
+class CrashBlame(Enum):
     """What speaks for it that a run brought its worker down.
 
-    ``NONE``: a lasting task had been at work for long.  ``DOUBTED``: it may never have begun there.
-    ``PRESENT``: it was there.  ``RECENT``: it had just begun, as others had.  ``ALONE``: only tasks
+    ``NONE``: a lasting task had been at work for long.  ``UNCONFIRMED``: it may never have begun
+    there.
+    ``CONFIRMED``: it was there.  ``RECENT``: it had just has_started, as others had.  ``ALONE``:
+    only tasks
     of its job had just begun.
     """
 
     NONE = "none"
-    DOUBTED = "doubted"
-    PRESENT = "present"
+    UNCONFIRMED = "doubted"
+    CONFIRMED = "present"
     RECENT = "recent"
     ALONE = "alone"
 
@@ -53,19 +55,19 @@
     recent: int = 0
     alone: int = 0
 
-    def add(self, blame: Blame) -> CrashTally:
+    def add(self, blame: CrashBlame) -> CrashTally:
         """Return the tally with one more crash; a run that has worked for long clears it."""
-        if blame is Blame.NONE:
+        if blame is CrashBlame.NONE:
             return CrashTally()
         return CrashTally(
             self.total + 1,
-            self.certain + (blame is not Blame.DOUBTED),
-            self.recent + (blame in (Blame.RECENT, Blame.ALONE)),
-            self.alone + (blame is Blame.ALONE),
+            self.certain + (blame is not CrashBlame.UNCONFIRMED),
+            self.recent + (blame in (CrashBlame.RECENT, CrashBlame.ALONE)),
+            self.alone + (blame is CrashBlame.ALONE),
         )
 
     @property
-    def is_suspicious(self) -> bool:
+    def needs_isolation(self) -> bool:
         """Whether the task is to begin apart from others, so that a crash shows who caused it."""
         return self.recent > 0 or self.total >= TOTAL_TO_SUSPECT
 
--- a/src/onyxspoke/core/jobs/book.py
+++ b/src/onyxspoke/core/jobs/job_registry.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from onyxspoke.core.estimates.work import WorkModel, unlearned_work
-from onyxspoke.core.jobs.crashes import Blame
+from onyxspoke.core.estimates.work_model import WorkModel, default_work_model
+from onyxspoke.core.jobs.crashes import CrashBlame
 from onyxspoke.core.jobs.model import (
     JobId,
     JobSpec,
@@ -23,14 +23,14 @@
 from onyxspoke.core.jobs.progress import JobProgress, StepProgress, TaskProgress
 from onyxspoke.core.jobs.records import ProgressRecord, restore_progress
 from onyxspoke.core.jobs.states import JobState, TaskState
-from onyxspoke.core.tenants.keys import may_see
+from onyxspoke.core.tenants.keys import may_access_job
 from onyxspoke.core.tenants.policy import TenantName
 
 #: Repetitions of one job that may be under way at once.
 MAXIMUM_OPEN_REPETITIONS = 64
 
 
-class Submission(Enum):
+class SubmissionOutcome(Enum):
     """What came of handing a job in."""
 
     NEW = "new"
@@ -46,24 +46,24 @@
     at: float
 
 
-class JobBook:
+class JobRegistry:
     """The jobs of one shard.
 
     Parameters
     ----------
     status_seconds : float
         For how long a finished job is remembered.
-    work_of : callable
+    work_model_for : callable
         Gives what is known of the work of a queue and tenant.
     """
 
     def __init__(
         self,
         status_seconds: float,
-        work_of: Callable[[str, TenantName], WorkModel] = unlearned_work,
+        work_model_for: Callable[[str, TenantName], WorkModel] = default_work_model,
     ) -> None:
         self._status_seconds = status_seconds
-        self._work_of = work_of
+        self._work_model_for = work_model_for
         self.jobs: dict[JobId, JobProgress] = {}
         self.startable: dict[StepKey, StepProgress] = {}
         self.dirty: dict[JobId, None] = {}
@@ -81,29 +81,31 @@
 
     # Callers
 
-    def submit(self, spec: JobSpec, now: float, handed_in_at: float | None = None) -> Submission:
+    def submit(
+        self, spec: JobSpec, now: float, first_submitted_at: float | None = None
+    ) -> SubmissionOutcome:
         """Take a job in; the same identifier again changes nothing.
 
-        ``handed_in_at`` is when it was first handed in, where that was before.
+        ``first_submitted_at`` is when it was first handed in, where that was before.
         """
         if spec.job_id in self.jobs:
-            return Submission.KNOWN
+            return SubmissionOutcome.KNOWN
         if self.was_cancelled_before(spec):
-            return Submission.CANCELLED_BEFORE
-        accepted_at = now if handed_in_at is None else handed_in_at
-        job = JobProgress(spec, accepted_at, self._work_of(spec.queue.name, spec.tenant))
+            return SubmissionOutcome.CANCELLED_BEFORE
+        accepted_at = now if first_submitted_at is None else first_submitted_at
+        job = JobProgress(spec, accepted_at, self._work_model_for(spec.queue.name, spec.tenant))
         self.jobs[spec.job_id] = job
         self.dirty[spec.job_id] = None
         if spec.schedule.count > 0:
             self._scheduled[spec.job_id] = job
         else:
             self._begin_repetition(job, 0, now)
-        return Submission.NEW
+        return SubmissionOutcome.NEW
 
     def was_cancelled_before(self, spec: JobSpec) -> bool:
         """Return whether a cancel by the job's tenant came before the job did."""
         cancel = self.cancelled_before.get(spec.job_id)
-        return cancel is not None and may_see(cancel.tenant, spec.tenant)
+        return cancel is not None and may_access_job(cancel.tenant, spec.tenant)
 
     def withdraw(self, job_id: JobId) -> None:
         """Forget a job whose record was never sent to the store, but not that it was cancelled."""
@@ -119,7 +121,7 @@
     def find_visible(self, job_id: JobId, tenant: TenantName) -> JobProgress | None:
         """Return a job, unless it is another tenant's."""
         job = self.jobs.get(job_id)
-        return job if job is not None and may_see(job.spec.tenant, tenant) else None
+        return job if job is not None and may_access_job(job.spec.tenant, tenant) else None
 
     def cancel(self, job_id: JobId, tenant: TenantName, now: float) -> JobProgress | None:
         """Cancel a job; one not known is remembered as cancelled, should it come yet.
@@ -143,7 +145,7 @@
             for job in self.jobs.values()
             if job.spec.queue.name == queue
             and job.committed_state is not None
-            and not job.begun
+            and not job.has_started
             and not job.state.is_final
         )
 
@@ -153,7 +155,7 @@
         self, spec: JobSpec, record: ProgressRecord | None, accepted_at: float, now: float
     ) -> None:
         """Take in what the store holds of a job."""
-        job = JobProgress(spec, accepted_at, self._work_of(spec.queue.name, spec.tenant))
+        job = JobProgress(spec, accepted_at, self._work_model_for(spec.queue.name, spec.tenant))
         job.spec_is_stored = True
         job.committed_state = JobState.QUEUED
         self.jobs[spec.job_id] = job
@@ -183,11 +185,11 @@
         self.jobs[job_id] = job
         self._finished[job_id] = None
 
-    def doubted_workers(self) -> list[WorkerId]:
+    def workers_with_tasks_in_doubt(self) -> list[WorkerId]:
         """Return the workers that may run tasks which are in doubt."""
         return list(self._doubted_on)
 
-    def tasks_doubted_on(self, worker_id: WorkerId) -> list[TaskProgress]:
+    def tasks_in_doubt_on(self, worker_id: WorkerId) -> list[TaskProgress]:
         """Return the tasks that a former holder placed on a worker, and no worker has shown yet."""
         tasks = self._doubted_on.get(worker_id, ())
         return [task for task in tasks if task.state is TaskState.IN_DOUBT]
@@ -201,7 +203,7 @@
             tasks = (task for step in steps for task in step.tasks)
         return (task for task in tasks if task.state is TaskState.IN_DOUBT)
 
-    def settle_worker(self, worker_id: WorkerId, now: float) -> list[StepProgress]:
+    def requeue_tasks_in_doubt_on(self, worker_id: WorkerId, now: float) -> list[StepProgress]:
         """Let the tasks wait again that a worker might have run and does not.
 
         Returns
@@ -220,7 +222,7 @@
                 self._refresh(step)
         return list(steps.values())
 
-    def settle_doubt(self, now: float) -> None:
+    def requeue_tasks_in_doubt(self, now: float) -> None:
         """Let every task wait again that no worker turned out to run."""
         for job in self.jobs.values():
             for step in job.steps():
@@ -239,25 +241,25 @@
 
     # Tasks
 
-    def task_started(self, task: TaskProgress) -> None:
+    def task_activated(self, task: TaskProgress) -> None:
         """A run of a task was decided on, or found on a worker."""
         task.move_to(TaskState.ACTIVE)
         self._refresh(task.step)
 
-    def task_begun(self, task: TaskProgress, now: float) -> None:
+    def task_run_confirmed(self, task: TaskProgress, now: float) -> None:
         """A worker said that it has, or had, a run of a task: its job waits no longer.
 
         An order alone says nothing: it may be turned away, or never arrive.
         """
         job = task.step.job
-        if job.begun:
+        if job.has_started:
             return
-        job.begun = True
+        job.has_started = True
         if job.state is JobState.QUEUED:
             job.move_to(JobState.RUNNING, now)
             self.dirty[job.job_id] = None
 
-    def task_waits(self, task: TaskProgress) -> None:
+    def task_requeued(self, task: TaskProgress) -> None:
         """A run ended otherwise than well, or never began, or is to be started again."""
         task.move_to(TaskState.WAITING)
         self._refresh(task.step)
@@ -284,7 +286,7 @@
         self.dirty[step.job.job_id] = None
         self._fail_if_hopeless(step, len(numbers), now)
 
-    def task_crashed(self, task: TaskProgress, blame: Blame, now: float) -> bool:
+    def task_crashed(self, task: TaskProgress, blame: CrashBlame, now: float) -> bool:
         """A worker went down under a task; return whether its job is given up for it.
 
         No attempt is counted: those are for ends that workers report.  Of lasting tasks, too,
@@ -294,9 +296,9 @@
         if job.state.is_final or task.state is TaskState.DONE:
             return False
         task.crashes = task.crashes.add(blame)
-        if blame is Blame.ALONE:
-            task.step.crashed_at = now
-            task.step.done_before_crash = task.step.done_count
+        if blame is CrashBlame.ALONE:
+            task.step.last_crash_at = now
+            task.step.done_count_at_crash = task.step.done_count
         self.dirty[job.job_id] = None
         if not task.crashes.is_hopeless:
             return False
@@ -316,7 +318,7 @@
 
     # Time
 
-    def keep(self, now: float, wall_ms: float, early_ms: float) -> None:
+    def tick(self, now: float, wall_ms: float, early_ms: float) -> None:
         """Begin repetitions that are due; forget what was finished long ago.
 
         Parameters
--- a/src/onyxspoke/core/jobs/model.py
+++ b/src/onyxspoke/core/jobs/model.py
@@ -14,7 +14,7 @@
 _MILLISECONDS = 1_000.0
 
 
-class Needs(NamedTuple):
+class ResourceVector(NamedTuple):
     """An amount of each resource that a worker has or a task takes."""
 
     processors_milli: int = 0
@@ -107,10 +107,10 @@
     disruption_budget: int = -1
 
     @property
-    def needs(self) -> Needs:
+    def needs(self) -> ResourceVector:
         """What one task reserves of a worker's room."""
         processors = 0 if self.fills else self.processors_milli
-        return Needs(processors, self.memory_mb, self.accelerators)
+        return ResourceVector(processors, self.memory_mb, self.accelerators)
 
 
 class AdvicePolicy(msgspec.Struct, frozen=True, array_like=True):
--- a/src/onyxspoke/core/jobs/policy.py
+++ b/src/onyxspoke/core/jobs/policy.py
@@ -13,14 +13,14 @@
 
     Attributes
     ----------
-    checks_room : bool
+    checks_capacity : bool
         Its workers reject what does not fit.
     is_spare : bool
         Its machines are off and run nothing.
     """
 
     name: str
-    checks_room: bool = False
+    checks_capacity: bool = False
     is_spare: bool = False
 
 
@@ -36,7 +36,7 @@
         """Return a job's queue as it is now; one that was dropped, as the job met it."""
         return self.queues.get(job.queue.name, job.queue)
 
-    def first_priority(self, service: str) -> int | None:
+    def highest_priority(self, service: str) -> int | None:
         """Return the priority of the queue that goes first at a service, if it has any."""
         of_service = (queue for queue in self.queues.values() if queue.service == service)
         return min((queue.priority for queue in of_service), default=None)
--- a/src/onyxspoke/core/jobs/progress.py
+++ b/src/onyxspoke/core/jobs/progress.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from onyxspoke.core.estimates.work import UNLEARNED_WORK, WorkModel
+from onyxspoke.core.estimates.work_model import DEFAULT_WORK_MODEL, WorkModel
 from onyxspoke.core.jobs.crashes import CrashTally
 from onyxspoke.core.jobs.model import JobId, JobSpec, StepKey, StepSpec, TaskKey, WorkerId
 from onyxspoke.core.jobs.states import (
@@ -15,7 +15,7 @@
 )
 
 if TYPE_CHECKING:
-    from onyxspoke.core.estimates.evidence import StepEvidence
+    from onyxspoke.core.estimates.evidence import StepObservations
     from onyxspoke.core.placement.runs import Run
 
 _MILLISECONDS = 1_000.0
@@ -34,7 +34,7 @@
         Opaque text from which work may resume; empty for none.
     run : Run or None
         The run that stands for the task now.
-    failed_on : WorkerId
+    last_failed_worker_id : WorkerId
         Worker of the latest failure, to try another one next.
     placed_on : WorkerId
         The worker that may have a run of it, by this holder's or a former one's record; empty
@@ -44,9 +44,9 @@
     __slots__ = (
         "checkpoint",
         "crashes",
-        "failed_on",
         "failed_runs",
         "index",
+        "last_failed_worker_id",
         "placed_on",
         "run",
         "state",
@@ -61,7 +61,7 @@
         self.crashes = CrashTally()
         self.checkpoint = ""
         self.run: Run | None = None
-        self.failed_on: WorkerId = ""
+        self.last_failed_worker_id: WorkerId = ""
         self.placed_on: WorkerId = ""
 
     @property
@@ -83,7 +83,7 @@
 
     Attributes
     ----------
-    needs : Needs
+    needs : ResourceVector
         What one task reserves of a worker's room.
     waiting : dict of int to None
         Indexes of tasks that may be started, in order.
@@ -93,55 +93,60 @@
         When the last of them ended, in the reader's seconds.
     failed_gang_runs : list of int
         Numbers of the runs of the whole gang in which a member failed.
-    last_number : int
+    last_run_number : int
         Highest run number that is known of any task of the step.
     due_at : float
         When the job was accepted, or the repetition fell due, in the reader's seconds.
-    chain_seconds : float
+    remaining_path_seconds : float
         Estimated work from this step to the end of the job, along the longest chain.
     over_quota_since : float or None
         Since when nothing of it may start because its tenant's quota is used up.
     over_quota_seconds : float
         For how long that was so before.
-    crashed_at : float
+    last_crash_at : float
         When a worker last went down just after only tasks of this job had begun there; 0 for never.
-    done_before_crash : int
+    done_count_at_crash : int
         How many tasks had ended well by then.
-    evidence : StepEvidence or None
+    evidence : StepObservations or None
         How its tasks have compared with their estimate.
-    begins_apart_until : float
+    next_trial_start_at : float
         While it is on trial, nothing more of it begins before this second.
     """
 
     __slots__ = (
-        "begins_apart_until",
         "blocked_by",
-        "chain_seconds",
-        "crashed_at",
-        "done_before_crash",
         "done_count",
+        "done_count_at_crash",
         "due_at",
         "evidence",
         "failed_gang_runs",
         "in_doubt",
         "job",
         "key",
-        "last_number",
+        "last_crash_at",
+        "last_run_number",
         "needs",
+        "next_trial_start_at",
         "over_quota_seconds",
         "over_quota_since",
         "ready_at",
+        "remaining_path_seconds",
         "spec",
         "tasks",
         "waiting",
     )
 
     def __init__(
-        self, job: JobProgress, key: StepKey, spec: StepSpec, chain_seconds: float, now: float
+        self,
+        job: JobProgress,
+        key: StepKey,
+        spec: StepSpec,
+        remaining_path_seconds: float,
+        now: float,
     ) -> None:
         self.job = job
         self.due_at = job.accepted_at if job.spec.schedule.count == 0 else now
-        self.chain_seconds = chain_seconds
+        self.remaining_path_seconds = remaining_path_seconds
         self.key = key
         self.spec = spec
         #: As ``spec.needs``, which is worked out at each use, and placement uses it all the time.
@@ -153,13 +158,13 @@
         self.blocked_by = len(spec.depends_on)
         self.ready_at = now
         self.failed_gang_runs: list[int] = []
-        self.last_number = 0
+        self.last_run_number = 0
         self.over_quota_since: float | None = None
         self.over_quota_seconds = 0.0
-        self.crashed_at = 0.0
-        self.done_before_crash = 0
-        self.begins_apart_until = 0.0
-        self.evidence: StepEvidence | None = None
+        self.last_crash_at = 0.0
+        self.done_count_at_crash = 0
+        self.next_trial_start_at = 0.0
+        self.evidence: StepObservations | None = None
 
     @property
     def expected_seconds(self) -> float:
@@ -167,11 +172,11 @@
         return self.spec.estimated_ms / _MILLISECONDS * self.job.work.factor
 
     @property
-    def expected_chain_seconds(self) -> float:
+    def expected_remaining_path_seconds(self) -> float:
         """How long the work to the end of the job is expected to take, along the longest chain."""
-        return self.chain_seconds * self.job.work.factor
+        return self.remaining_path_seconds * self.job.work.factor
 
-    def note_quota(self, is_over: bool, now: float) -> bool:
+    def set_over_quota(self, is_over: bool, now: float) -> bool:
         """Take note whether its tenant's quota holds the step back; return whether that is new."""
         if is_over:
             is_new = self.over_quota_since is None
@@ -184,7 +189,7 @@
         return False
 
     @property
-    def most_on_a_worker(self) -> int:
+    def max_tasks_per_worker(self) -> int:
         """How many of its tasks one worker may have at most, however much room there is."""
         return min(self.spec.spread_limit or len(self.tasks), len(self.tasks))
 
@@ -226,7 +231,7 @@
         What the store holds, and so what may be shown; ``None`` before the first commit.
     repetitions : dict of int to list of StepProgress
         Steps by repetition; of a job with times, only those that are due and not done.
-    begun : bool
+    has_started : bool
         Whether a worker ever had a run of any task, as far as is known here.
     accepted_at : float
         The reader's seconds of the acceptance.
@@ -238,10 +243,10 @@
 
     __slots__ = (
         "accepted_at",
-        "begun",
         "committed_state",
         "done_repetitions",
         "final_at",
+        "has_started",
         "objective_seconds",
         "repetitions",
         "spec",
@@ -251,14 +256,14 @@
         "work",
     )
 
-    def __init__(self, spec: JobSpec, now: float, work: WorkModel = UNLEARNED_WORK) -> None:
+    def __init__(self, spec: JobSpec, now: float, work: WorkModel = DEFAULT_WORK_MODEL) -> None:
         self.spec = spec
         self.work = work
         self.state = JobState.QUEUED
         self.committed_state: JobState | None = None
         self.repetitions: dict[int, list[StepProgress]] = {}
         self.done_repetitions: set[int] = set()
-        self.begun = False
+        self.has_started = False
         self.accepted_at = now
         self.objective_seconds = _objective_seconds(spec)
         #: The part of the objective that grows with the work.
@@ -349,11 +354,11 @@
     return chains
 
 
-def checkpoint_of(task: TaskProgress) -> str:
+def resume_checkpoint(task: TaskProgress) -> str:
     """Return from where a start resumes; empty for the beginning."""
-    return checkpoint_holder(task).checkpoint if task.step.spec.checkpointing else ""
+    return task_with_checkpoint(task).checkpoint if task.step.spec.checkpointing else ""
 
 
-def checkpoint_holder(task: TaskProgress) -> TaskProgress:
+def task_with_checkpoint(task: TaskProgress) -> TaskProgress:
     """Return the task that keeps the checkpoint; of a gang, the first one for all."""
     return task.step.tasks[0] if task.step.spec.gang else task
--- a/src/onyxspoke/core/jobs/records.py
+++ b/src/onyxspoke/core/jobs/records.py
@@ -119,7 +119,7 @@
     state = JobState(record.state)
     job.committed_state = state
     if state is not JobState.QUEUED:
-        job.begun = state is JobState.RUNNING
+        job.has_started = state is JobState.RUNNING
         job.move_to(state, now)
     if state.is_final:
         return
--- a/src/onyxspoke/core/jobs/amounts.py
+++ b/src/onyxspoke/core/jobs/resource_vectors.py
@@ -4,33 +4,35 @@
 
 import sys
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 
 #: More tasks than any step has.
 _UNBOUNDED = sys.maxsize
 
 
-def plus(first: Needs, second: Needs) -> Needs:
+def add_vectors(first: ResourceVector, second: ResourceVector) -> ResourceVector:
     """Return the sum of two amounts."""
-    return Needs(first[0] + second[0], first[1] + second[1], first[2] + second[2])
+    return ResourceVector(first[0] + second[0], first[1] + second[1], first[2] + second[2])
 
 
-def minus(first: Needs, second: Needs) -> Needs:
+def subtract_vectors(first: ResourceVector, second: ResourceVector) -> ResourceVector:
     """Return what is left of one amount without another; it may be below zero."""
-    return Needs(first[0] - second[0], first[1] - second[1], first[2] - second[2])
+    return ResourceVector(first[0] - second[0], first[1] - second[1], first[2] - second[2])
 
 
-def times(amount: Needs, count: int) -> Needs:
+def scale_vector(amount: ResourceVector, count: int) -> ResourceVector:
     """Return so many times an amount."""
-    return Needs(amount[0] * count, amount[1] * count, amount[2] * count)
+    return ResourceVector(amount[0] * count, amount[1] * count, amount[2] * count)
 
 
-def bounded(amount: Needs, bound: Needs) -> Needs:
+def elementwise_minimum(amount: ResourceVector, bound: ResourceVector) -> ResourceVector:
     """Return an amount that is at most a bound, resource by resource."""
-    return Needs(min(amount[0], bound[0]), min(amount[1], bound[1]), min(amount[2], bound[2]))
+    return ResourceVector(
+        min(amount[0], bound[0]), min(amount[1], bound[1]), min(amount[2], bound[2])
+    )
 
 
-def slots_within(room: Needs, needs: Needs) -> int:
+def count_fitting_tasks(room: ResourceVector, needs: ResourceVector) -> int:
     """Return how many tasks with these needs go into a room; none where any of it is over."""
     if min(room) < 0:
         return 0
--- a/src/onyxspoke/core/jobs/states.py
+++ b/src/onyxspoke/core/jobs/states.py
@@ -51,9 +51,9 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
-    BROKEN = "broken"
-    ALONE = "alone"
+    LEASE_EXPIRED = "lapsed"
+    GANG_BROKEN = "broken"
+    GANG_INCOMPLETE = "alone"
     NOT_STARTED = "not_started"
     ABANDONED = "abandoned"
 
--- a/src/onyxspoke/core/key_guard.py
+++ b/src/onyxspoke/core/key_guard.py
@@ -109,7 +109,7 @@
         self._context.ledger.begin(key, request.request_id, fingerprint)
         intent = KeyIntent(key, fingerprint)
         self._pending_intents[key] = intent
-        self._context.cell_appends.add(intent)
+        self._context.cell_append_queue.add(intent)
 
     def _join(self, request: ActiveRequest, run: KeyRun, fingerprint: int, now: float) -> None:
         if run.fingerprint != fingerprint:
@@ -145,16 +145,16 @@
             return
         self._context.ledger.forget(key)
         if is_holder:
-            self._context.cell_appends.add(KeyRelease(key))
+            self._context.cell_append_queue.add(KeyRelease(key))
 
     def _release(self, key: str) -> None:
         intent = self._pending_intents.get(key)
-        if intent is not None and not self._context.cell_appends.withdraw(intent):
+        if intent is not None and not self._context.cell_append_queue.withdraw(intent):
             return  # The intent was sent already; reading it back releases the key.
         self._pending_intents.pop(key, None)
         self._context.ledger.forget(key)
         if intent is None:
-            self._context.cell_appends.add(KeyRelease(key))
+            self._context.cell_append_queue.add(KeyRelease(key))
 
     def _refuse(self, request: ActiveRequest, code: ResultCode, now: float) -> None:
         self._dispatcher.answer(request, self._context.refusal(code), now)
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -32,10 +32,10 @@
     WorkerDrain,
     WorkerRelease,
 )
-from onyxspoke.core.ownership_keeper import OwnershipKeeper
+from onyxspoke.core.ownership_manager import OwnershipManager
 from onyxspoke.core.peer_table import PeerState
 from onyxspoke.core.schema import Offset
-from onyxspoke.core.settings_watch import PendingChanges, SettingsWatch
+from onyxspoke.core.settings_propagation import PendingChanges, SettingsPropagation
 from onyxspoke.core.snapshot import (
     CellSnapshot,
     LoadedSnapshot,
@@ -51,15 +51,15 @@
     def __init__(
         self,
         context: EntryContext,
-        ownership: OwnershipKeeper,
+        ownership: OwnershipManager,
         keys: KeyGuard,
         acceptance: JobAcceptance,
         jobs: JobRunner,
-        settings_watch: SettingsWatch,
+        settings_propagation: SettingsPropagation,
         pending_changes: PendingChanges,
     ) -> None:
         self._pending_changes = pending_changes
-        self._settings_watch = settings_watch
+        self._settings_watch = settings_propagation
         self._context = context
         self._ownership = ownership
         self._keys = keys
@@ -78,7 +78,7 @@
         bootstrap.begin(first_kept)
         if next_offset > 1 and first_kept > next_offset:
             self._context.emit(StateLost(stream))
-        self._context.appends[stream].enabled = bootstrap.is_complete
+        self._context.append_queues[stream].enabled = bootstrap.is_complete
 
     def read_cell(self, offset: Offset, batch: LogBatch, now: float) -> None:
         """Take one batch of the cell stream."""
@@ -108,7 +108,7 @@
         load(loaded, now)
         for kept_offset, kept in bootstrap.take_kept(loaded.covers):
             fold(kept_offset, kept, now)
-        self._context.appends[stream].enabled = True
+        self._context.append_queues[stream].enabled = True
 
     def _load_cell(self, loaded: LoadedSnapshot, now: float) -> None:
         snapshot = msgspec.msgpack.decode(loaded.data, type=CellSnapshot)
@@ -124,13 +124,13 @@
     def keep_snapshots(self, now: float) -> None:
         """Write snapshots when the last ones have grown old."""
         for stream, writer in self._writers.items():
-            if self._context.appends[stream].enabled and not self._context.stopping:
+            if self._context.append_queues[stream].enabled and not self._context.stopping:
                 writer.keep(now)
 
     def _fold_cell(self, offset: Offset, batch: LogBatch, now: float) -> None:
         context = self._context
         own = batch.writer == context.identity.entry_id
-        created_at = context.cell_appends.handle_read(batch.sequence) if own else None
+        created_at = context.cell_append_queue.handle_read(batch.sequence) if own else None
         if not context.cell.apply(offset, batch, now):
             return
         context.log_read_at = now
@@ -155,7 +155,7 @@
         own = batch.writer == context.identity.entry_id
         self._settings_offset = offset
         if own:
-            context.appends[LogStream.SETTINGS].handle_read(batch.sequence)
+            context.append_queues[LogStream.SETTINGS].handle_read(batch.sequence)
         for record in batch.records:
             if isinstance(record, SnapshotPart):
                 self._writers[LogStream.SETTINGS].handle_part_read(now)
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -26,10 +26,10 @@
     lease_seconds: float = 5.0
     margin_seconds: float = 1.0
     settle_seconds: float = 1.0
-    forget_seconds: float = 600.0
+    member_retention_seconds: float = 600.0
 
     @property
-    def lapse_seconds(self) -> float:
+    def member_timeout_seconds(self) -> float:
         """Silence after which a member counts as gone."""
         return self.lease_seconds + self.margin_seconds
 
@@ -65,7 +65,7 @@
     now: float,
     options: LeaseOptions,
     cache: PreferenceCache,
-    promised_until: Mapping[EntryId, float],
+    holdover_promised_until: Mapping[EntryId, float],
 ) -> OwnershipPlan:
     """Compare wanted ownership with the folded one.
 
@@ -83,10 +83,10 @@
         Lease times.
     cache : PreferenceCache
         Remembers preferences from one plan to the next.
-    promised_until : mapping
+    holdover_promised_until : mapping
         Until when this entry promised holders not to claim their workers.
     """
-    live = cell.live_members(identity.zone, now, options.lapse_seconds)
+    live = cell.live_members(identity.zone, now, options.member_timeout_seconds)
     claims: list[ClaimItem] = []
     releases: list[WorkerId] = []
     if identity.entry_id not in live:
@@ -95,12 +95,12 @@
         if machine.zone != identity.zone:
             continue
         wanted_here = cache.preferred(machine.worker_id, live) == identity.entry_id
-        held_here = cell.holding_of(machine.worker_id).holder == identity.entry_id
+        held_here = cell.ownership_of(machine.worker_id).holder == identity.entry_id
         if held_here and not wanted_here:
             releases.append(machine.worker_id)
         elif wanted_here and not held_here and machine.listing is WorkerListing.LIVE:
-            holder = cell.holding_of(machine.worker_id).holder
-            if now < promised_until.get(holder, now):
+            holder = cell.ownership_of(machine.worker_id).holder
+            if now < holdover_promised_until.get(holder, now):
                 continue
             claim = _claim_if_free(cell, machine.worker_id, now, options)
             if claim is not None:
@@ -111,10 +111,10 @@
 def _claim_if_free(
     cell: CellState, worker_id: WorkerId, now: float, options: LeaseOptions
 ) -> ClaimItem | None:
-    holding = cell.holding_of(worker_id)
+    holding = cell.ownership_of(worker_id)
     holder = cell.members.get(holding.holder)
     if holder is None:
         return ClaimItem(worker_id, holding.epoch, 0)
-    if now - holder.seen_at <= options.lapse_seconds:
+    if now - holder.last_seen_at <= options.member_timeout_seconds:
         return None
     return ClaimItem(worker_id, holding.epoch, holder.last_offset)
--- a/src/onyxspoke/core/ownership_keeper.py
+++ b/src/onyxspoke/core/ownership_manager.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.schema import FencingToken, MachineRecord, Resources, RunningTask, WorkerId
 
 
-class OwnershipKeeper:
+class OwnershipManager:
     """Claims, attaches, releases and drops workers."""
 
     def __init__(self, context: EntryContext) -> None:
@@ -68,11 +68,11 @@
             now,
             context.options.lease,
             self._preferences,
-            context.promised_until,
+            context.holdover_promised_until,
         )
         self._append_claims(plan.claims)
         self._append_releases(plan.releases)
-        context.cell.forget_members(now, context.options.lease.forget_seconds)
+        context.cell.forget_members(now, context.options.lease.member_retention_seconds)
 
     def release_all(self) -> None:
         """Give up every owned worker, as part of a planned stop."""
@@ -122,9 +122,11 @@
         fresh = [item for item in claims if item.worker_id not in self._claims_pending]
         if fresh:
             self._claims_pending.update(item.worker_id for item in fresh)
-            holding_of = self._context.cell.holding_of
-            self._context.claimed_from.update(holding_of(item.worker_id).holder for item in fresh)
-            self._context.cell_appends.add(WorkerClaim(fresh))
+            ownership_of = self._context.cell.ownership_of
+            self._context.takeover_pending_from.update(
+                ownership_of(item.worker_id).holder for item in fresh
+            )
+            self._context.cell_append_queue.add(WorkerClaim(fresh))
 
     def _append_releases(self, worker_ids: list[WorkerId]) -> None:
         fresh = [worker for worker in worker_ids if worker not in self._releases_pending]
@@ -134,13 +136,13 @@
         for worker_id in fresh:
             # From here on nothing new goes to it, though the record is not yet read back.
             self._context.workers.remove(worker_id)
-        self._context.cell_appends.add(WorkerRelease(fresh))
+        self._context.cell_append_queue.add(WorkerRelease(fresh))
 
     def handle_own_records(self, claims: list[ClaimItem], releases: list[WorkerId]) -> None:
         """Note that own claims and releases were read back, whatever the fold decided."""
         self._claims_pending.difference_update(item.worker_id for item in claims)
         if not self._claims_pending:
-            self._context.claimed_from.clear()
+            self._context.takeover_pending_from.clear()
         self._releases_pending.difference_update(releases)
 
     def _drop_lost(self) -> list[WorkerId]:
@@ -148,7 +150,7 @@
         lost = [
             worker.worker_id
             for worker in context.workers.workers.values()
-            if context.cell.holding_of(worker.worker_id).holder != context.identity.entry_id
+            if context.cell.ownership_of(worker.worker_id).holder != context.identity.entry_id
         ]
         for worker_id in lost:
             context.workers.remove(worker_id)
@@ -156,7 +158,7 @@
 
     def _adopt_claimed(self, now: float) -> None:
         context = self._context
-        for worker_id, holding in context.cell.holdings.items():
+        for worker_id, holding in context.cell.ownerships.items():
             if holding.holder != context.identity.entry_id:
                 continue
             if worker_id in self._releases_pending:
--- a/src/onyxspoke/core/peer_keeper.py
+++ b/src/onyxspoke/core/peer_keeper.py
@@ -32,7 +32,7 @@
         self._next_check_at = now + options.advertise_interval_seconds
         advertisement = self._make_advertisement(now)
         is_changed = advertisement != self._last_sent
-        if is_changed or now - self._last_sent_at >= options.advertise_silence_seconds:
+        if is_changed or now - self._last_sent_at >= options.maximum_advertise_interval_seconds:
             self._last_sent = advertisement
             self._last_sent_at = now
             self._context.emit(advertisement)
@@ -49,10 +49,10 @@
         return AdvertiseCapacity(free, largest, context.settings.revision)
 
     def _drop_timed_out_peers(self, now: float) -> None:
-        lapse_seconds = self._context.options.lease.lapse_seconds
+        member_timeout_seconds = self._context.options.lease.member_timeout_seconds
         for peer_id, peer in list(self._context.peers.peers.items()):
             member = self._context.cell.members.get(peer_id)
-            timed_out = member is None or now - member.seen_at > lapse_seconds
+            timed_out = member is None or now - member.last_seen_at > member_timeout_seconds
             if timed_out and not peer.connected:
                 del self._context.peers.peers[peer_id]
                 self._context.emit(DisconnectPeer(peer_id))
--- a/src/onyxspoke/core/placement/advice_targets.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -10,9 +10,9 @@
 import zlib
 from collections.abc import Callable, Iterable
 
-from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import AdvicePolicy, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks
 from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.spreading import task_counts_by_worker
@@ -64,7 +64,7 @@
         self._offer = schedulable
         self._room = room
         self._good_share = approval_rate
-        self._bound = step.most_on_a_worker
+        self._bound = step.max_tasks_per_worker
         #: Tasks that each worker has already, where their spread is bounded.
         self._counts = task_counts_by_worker(step)
 
@@ -151,7 +151,7 @@
         return max(0, min(spread, self._room.slots(worker, self._step.needs)))
 
     def _slots_ever(self, worker: Worker) -> int:
-        return min(self._bound, slots_within(worker.record.capacity, self._step.needs))
+        return min(self._bound, count_fitting_tasks(worker.record.capacity, self._step.needs))
 
 
 def call_interval_seconds(policy: AdvicePolicy, count: int) -> float:
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -15,7 +15,7 @@
 
 from enum import Enum
 
-from onyxspoke.core.jobs.crashes import Blame
+from onyxspoke.core.jobs.crashes import CrashBlame
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.worker_record import WorkerListing
@@ -54,14 +54,14 @@
     return sign is IncarnationEndReason.OTHER_INCARNATION or worker.listing is WorkerListing.GONE
 
 
-def blame_runs(worker: Worker, now: float) -> list[tuple[Run, Blame]]:
+def blame_runs(worker: Worker, now: float) -> list[tuple[Run, CrashBlame]]:
     """Return the runs that were ordered on a worker that crashed, each with its blame."""
     runs = [run for run in worker.runs.values() if run.state is not RunState.PLANNED]
     recent = [run for run in runs if _had_just_begun(run, worker)]
     if _went_down_at_unknown_moment(worker, now):
         recent = []
     is_one_job = len({run.task.key.job_id for run in recent}) == 1
-    blame_of_recent = Blame.ALONE if is_one_job else Blame.RECENT
+    blame_of_recent = CrashBlame.ALONE if is_one_job else CrashBlame.RECENT
     return [(run, _blame_of(run, run in recent, blame_of_recent, now)) for run in runs]
 
 
@@ -87,11 +87,11 @@
     return run.state is RunState.STOPPING and run.stop_answered_at > 0.0
 
 
-def _blame_of(run: Run, is_recent: bool, blame_of_recent: Blame, now: float) -> Blame:
+def _blame_of(run: Run, is_recent: bool, blame_of_recent: CrashBlame, now: float) -> CrashBlame:
     if not run.confirmed_at or _has_stopped(run):
-        return Blame.DOUBTED
+        return CrashBlame.UNCONFIRMED
     if is_recent:
         return blame_of_recent
     is_steady = now - run.confirmed_at >= STEADY_SECONDS
     is_lasting = run.task.step.spec.long_running
-    return Blame.NONE if is_lasting and is_steady else Blame.PRESENT
+    return CrashBlame.NONE if is_lasting and is_steady else CrashBlame.CONFIRMED
--- a/src/onyxspoke/core/placement/forecast.py
+++ b/src/onyxspoke/core/placement/forecast.py
@@ -5,7 +5,7 @@
 import math
 from operator import itemgetter
 
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.runs import Run
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
@@ -46,9 +46,11 @@
         self._stop_seconds = stop_seconds
         self._now = now
         #: Ends of a worker's runs, the soonest first, and what each frees.
-        self._ends: dict[WorkerId, list[tuple[float, Needs]]] = {}
+        self._ends: dict[WorkerId, list[tuple[float, ResourceVector]]] = {}
 
-    def room_expected_at(self, worker: Worker, needs: Needs, room: ScratchCapacity) -> float:
+    def room_expected_at(
+        self, worker: Worker, needs: ResourceVector, room: ScratchCapacity
+    ) -> float:
         """Return when a worker will have room for one more task; infinity if not known."""
         processors, memory, accelerators = room.free(worker)
         if _fits(processors, memory, accelerators, needs):
@@ -61,7 +63,7 @@
                 return at
         return math.inf
 
-    def _ends_on(self, worker: Worker) -> list[tuple[float, Needs]]:
+    def _ends_on(self, worker: Worker) -> list[tuple[float, ResourceVector]]:
         ends = self._ends.get(worker.worker_id)
         if ends is None:
             ends = [
@@ -73,7 +75,7 @@
         return ends
 
 
-def _fits(processors: int, memory: int, accelerators: int, needs: Needs) -> bool:
+def _fits(processors: int, memory: int, accelerators: int, needs: ResourceVector) -> bool:
     # What is not needed may be held by more than there is.
     return (
         needs.processors_milli <= max(0, processors)
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -217,13 +217,13 @@
     Those with room for most members come first: a gang is broken off by the loss of any of its
     workers, so that it is to have few.
     """
-    failed_on = {task.failed_on for task in step.tasks}
+    last_failed_worker_id = {task.last_failed_worker_id for task in step.tasks}
     ranked = []
     for worker in workers:
-        count = min(step.most_on_a_worker, room.slots(worker, step.needs))
+        count = min(step.max_tasks_per_worker, room.slots(worker, step.needs))
         if count > 0:
             score = (
-                int(worker.worker_id in failed_on),
+                int(worker.worker_id in last_failed_worker_id),
                 int(worker.health.is_suspected(now)),
                 int(is_off_preferred_rack(worker, step)),
                 (NEUTRAL_SPEED_SCORE if chooser is None else chooser.score(worker)),
@@ -240,7 +240,7 @@
     step: StepProgress, workers: list[Worker], room: ScratchCapacity, now: float
 ) -> list[MemberSlots]:
     """Return for how many more members workers will have room in a moment."""
-    most = step.most_on_a_worker
+    most = step.max_tasks_per_worker
     found = []
     for worker in workers:
         freed = freed_soon(worker, now)
--- a/src/onyxspoke/core/placement/isolation.py
+++ b/src/onyxspoke/core/placement/isolation.py
@@ -43,27 +43,27 @@
 def isolate_worker_of(run: Run, now: float) -> None:
     """Have nothing else begin on a run's worker until it would be known that the run crashed it."""
     step = run.task.step
-    if run.task.crashes.is_suspicious or is_on_trial(step):
-        step.begins_apart_until = run.worker.isolated_until = now + TRIAL_SECONDS
+    if run.task.crashes.needs_isolation or is_on_trial(step):
+        step.next_trial_start_at = run.worker.isolated_until = now + TRIAL_SECONDS
 
 
 def is_on_trial(step: StepProgress) -> bool:
     """Return whether a step crashed a worker, and nothing of it has begun well since."""
-    if not step.crashed_at or step.done_count > step.done_before_crash:
+    if not step.last_crash_at or step.done_count > step.done_count_at_crash:
         return False
-    return not any(_has_begun_well(task, step.crashed_at) for task in step.tasks)
+    return not any(_has_begun_well(task, step.last_crash_at) for task in step.tasks)
 
 
-def _has_begun_well(task: TaskProgress, crashed_at: float) -> bool:
+def _has_begun_well(task: TaskProgress, last_crash_at: float) -> bool:
     run = task.run
-    if run is None or not run.confirmed_at or run.ordered_at <= crashed_at:
+    if run is None or not run.confirmed_at or run.ordered_at <= last_crash_at:
         return False
     return run.worker.last_answer_at > run.ordered_at + RECENT_START_SECONDS
 
 
 def begins_apart(task: TaskProgress, step_is_on_trial: bool) -> bool:
     """Return whether a task is to begin apart from other jobs."""
-    return step_is_on_trial or task.crashes.is_suspicious
+    return step_is_on_trial or task.crashes.needs_isolation
 
 
 def place_apart(
@@ -78,7 +78,7 @@
     chosen: list[tuple[AnyPlace, TaskProgress]] = []
     waiting = list(suspects)
     one_at_a_time = is_on_trial(step)
-    if one_at_a_time and now < step.begins_apart_until:
+    if one_at_a_time and now < step.next_trial_start_at:
         return chosen
     for place in sorted(places, key=lambda place: _disturbance(place.worker, room, now)):
         if not waiting:
--- a/src/onyxspoke/core/placement/placement_pass.py
+++ b/src/onyxspoke/core/placement/placement_pass.py
@@ -6,7 +6,7 @@
 
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
-from onyxspoke.core.tenants.ledger import QuotaPass
+from onyxspoke.core.tenants.quota_usage import QuotaBudget
 
 
 @dataclass(slots=True)
@@ -17,7 +17,7 @@
     ----------
     policy : PolicySet
         The configuration in force.
-    quotas : QuotaPass
+    quotas : QuotaBudget
         What tenants may still start.
     now : float
         The moment of the pass.
@@ -28,7 +28,7 @@
     """
 
     policy: PolicySet
-    quotas: QuotaPass
+    quotas: QuotaBudget
     now: float
     capacity: ScratchCapacity = field(default_factory=ScratchCapacity)
     is_speed_aware: bool = True
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -26,7 +26,7 @@
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
-from onyxspoke.core.tenants.ledger import QuotaPass
+from onyxspoke.core.tenants.quota_usage import QuotaBudget
 
 #: Tasks placed in one pass at most, so that a pass stays short.
 MAXIMUM_PLACEMENTS = 200
@@ -100,7 +100,7 @@
         self._blocked_at.clear()
 
     def plan(
-        self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaPass, now: float
+        self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaBudget, now: float
     ) -> list[StepPlacement]:
         """Return what starts now, with the room already taken into account.
 
@@ -120,7 +120,7 @@
         for step in renewal_reservations.steps_by_rank(steps, offers.of, current):
             most = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
-            if step.note_quota(most == 0, now):
+            if step.set_over_quota(most == 0, now):
                 self._newly_over_quota.append(step)
             if most == 0:
                 self._reservations.drop(step.key)
@@ -252,7 +252,7 @@
             for worker in offered
             if has_label(worker, step)
             and not worker.health.is_suspected(current.now)
-            and counts.get(worker.worker_id, 0) < step.most_on_a_worker
+            and counts.get(worker.worker_id, 0) < step.max_tasks_per_worker
         ]
         total = schedulable.processors_milli
         self._seeker.seek(step, queue, workers, total, current)
@@ -297,7 +297,7 @@
         return schedulable
 
 
-def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
+def _tasks_within_quota(step: StepProgress, quotas: QuotaBudget) -> int:
     """Return how many of a step's waiting tasks its tenant may start; of a gang all, or none."""
     tenant = step.job.spec.tenant
     if not tenant:
--- a/src/onyxspoke/core/placement/preemption.py
+++ b/src/onyxspoke/core/placement/preemption.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.jobs.amounts import minus, plus, slots_within
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet
+from onyxspoke.core.jobs.resource_vectors import add_vectors, count_fitting_tasks, subtract_vectors
 from onyxspoke.core.jobs.states import RunState
 from onyxspoke.core.placement.forecast import remaining_seconds
 from onyxspoke.core.placement.runs import Run
@@ -37,7 +37,7 @@
 
 def choose_preemption(
     priority: int,
-    needs: Needs,
+    needs: ResourceVector,
     workers: list[Worker],
     room: ScratchCapacity,
     policy: PolicySet,
@@ -58,19 +58,19 @@
     return best
 
 
-def freed_soon(worker: Worker, now: float) -> Needs:
+def freed_soon(worker: Worker, now: float) -> ResourceVector:
     """Return the room on a worker that runs free which are being stopped, or end in a moment."""
-    freed = Needs()
+    freed = ResourceVector()
     for run in worker.runs.values():
         if run.state is RunState.STOPPING or _ends_soon(run, now):
-            freed = plus(freed, run.needs)
+            freed = add_vectors(freed, run.needs)
     return freed
 
 
 def _choose_on(
     worker: Worker,
     priority: int,
-    needs: Needs,
+    needs: ResourceVector,
     room: ScratchCapacity,
     policy: PolicySet,
     now: float,
@@ -79,21 +79,21 @@
     victims = []
     for run in worker.runs.values():
         if run.state is RunState.STOPPING or _ends_soon(run, now):
-            free = plus(free, run.needs)
+            free = add_vectors(free, run.needs)
         elif _may_give_way(run, priority, policy) and not _would_be_late(run, now):
             victims.append(run)
     victims.sort(key=lambda run: (-_priority_of(run, policy), -_slack(run, now), run.key))
     chosen = []
     for run in victims:
-        if slots_within(free, needs) > 0:
+        if count_fitting_tasks(free, needs) > 0:
             break
         chosen.append(run)
-        free = plus(free, run.needs)
-    if not chosen or slots_within(free, needs) == 0:
+        free = add_vectors(free, run.needs)
+    if not chosen or count_fitting_tasks(free, needs) == 0:
         return None
     for run in list(chosen):
-        without = minus(free, run.needs)
-        if slots_within(without, needs) > 0:
+        without = subtract_vectors(free, run.needs)
+        if count_fitting_tasks(without, needs) > 0:
             chosen.remove(run)
             free = without
     return Preemption(worker, chosen, sum(_weight(run) for run in chosen))
--- a/src/onyxspoke/core/placement/queue_order.py
+++ b/src/onyxspoke/core/placement/queue_order.py
@@ -61,8 +61,9 @@
     """Return a step's place, given its queue."""
     job = step.job
     objective = job.expected_objective_seconds
-    # As ``step.expected_chain_seconds``, without the call: every waiting step comes here in a pass.
-    chain = step.chain_seconds * job.work.factor
+    # As ``step.expected_remaining_path_seconds``, without the call: every waiting step comes here
+    # in a pass.
+    chain = step.remaining_path_seconds * job.work.factor
     latest_start = step.due_at + objective - chain
     lateness = _lateness(step, objective, chain, now)
     return StepRank(
@@ -78,7 +79,7 @@
 def refreshed_rank(rank: StepRank, step: StepProgress, now: float) -> StepRank:
     """Return a step's place as it is now: its queue and its tenant's share stay as they were."""
     objective = step.job.expected_objective_seconds
-    chain = step.expected_chain_seconds
+    chain = step.expected_remaining_path_seconds
     lateness = _lateness(step, objective, chain, now)
     return rank._replace(
         is_expired=lateness is Lateness.EXPIRED,
@@ -91,7 +92,7 @@
     """Return when a step's lateness changes next, by what is known now; infinity if never."""
     if step.spec.long_running:
         return math.inf
-    start = step.due_at - CERTAIN_ESTIMATE_SHARE * step.expected_chain_seconds
+    start = step.due_at - CERTAIN_ESTIMATE_SHARE * step.expected_remaining_path_seconds
     objective = step.job.expected_objective_seconds
     for moment in (start + objective, start + EXPIRY_FACTOR * objective):
         if moment > now:
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import StepKey
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
@@ -99,5 +99,5 @@
 def can_ever_fit(step: StepProgress, workers: list[Worker]) -> bool:
     """Return whether a gang has room on these workers when nothing else runs there."""
     needs = step.needs
-    room = sum(slots_within(worker.record.capacity, needs) for worker in workers)
+    room = sum(count_fitting_tasks(worker.record.capacity, needs) for worker in workers)
     return room >= len(step.tasks)
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from onyxspoke.core.estimates.evidence import RunEvidence, estimated_seconds
-from onyxspoke.core.jobs.model import Needs, RunKey
+from onyxspoke.core.estimates.evidence import ObservedRunPace, estimated_seconds
+from onyxspoke.core.jobs.model import ResourceVector, RunKey
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
 from onyxspoke.core.jobs.states import RunState, check_run_transition
 
@@ -81,7 +81,7 @@
         When the percentage last rose.
     usage : int
         Rough figure of the worker: processors in use, or the tail of answer times.
-    evidence : RunEvidence or None
+    evidence : ObservedRunPace or None
         What its progress has told of durations.
     pace_percent, ordered_pace_percent : int
         Share at which the run may work: as acknowledged, and as last ordered.
@@ -122,7 +122,7 @@
         self.task = task
         self.number = number
         self.worker = worker
-        self.needs: Needs = task.step.needs
+        self.needs: ResourceVector = task.step.needs
         self.state = RunState.PLANNED
         self.gang = gang
         self.start_valid_until_ms = 0
@@ -134,7 +134,7 @@
         self.stop_answered_at = 0.0
         self.percent = 0
         self.is_resumed = False
-        self.evidence: RunEvidence | None = None
+        self.evidence: ObservedRunPace | None = None
         self.progressed_at = now
         self.usage = 0
         self.pace_percent = 100
--- a/src/onyxspoke/core/placement/schedulable_workers.py
+++ b/src/onyxspoke/core/placement/schedulable_workers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.workers import Worker
 
@@ -17,7 +17,7 @@
         #: Of all its workers together.
         self.processors_milli = sum(worker.record.capacity.processors_milli for worker in workers)
 
-    def may_fit(self, needs: Needs) -> bool:
+    def may_fit(self, needs: ResourceVector) -> bool:
         """Return whether some worker might have room; a quick look, before any plan."""
         return (
             needs.processors_milli <= self._most_processors and needs.memory_mb <= self._most_memory
--- a/src/onyxspoke/core/placement/spreading.py
+++ b/src/onyxspoke/core/placement/spreading.py
@@ -104,7 +104,7 @@
         bound = min(bound, 1)
     if bound <= 0:
         return []
-    elsewhere = [task for task in waiting if task.failed_on != worker.worker_id]
+    elsewhere = [task for task in waiting if task.last_failed_worker_id != worker.worker_id]
     return (elsewhere or waiting)[:bound]
 
 
@@ -128,7 +128,7 @@
     needs_accelerators = step.needs.accelerators > 0
     is_apart = bool(zones) and worker.record.zone not in zones
     return (
-        int(tasks[0].failed_on == worker.worker_id),
+        int(tasks[0].last_failed_worker_id == worker.worker_id),
         int(worker.health.is_suspected(now)),
         int(is_off_preferred_rack(worker, step)),
         pace.lateness_penalty,
--- a/src/onyxspoke/core/placement/unconfirmed_usage.py
+++ b/src/onyxspoke/core/placement/unconfirmed_usage.py
@@ -9,14 +9,16 @@
 
 from collections.abc import Iterable
 
-from onyxspoke.core.jobs.amounts import bounded, plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.jobs.progress import TaskProgress
+from onyxspoke.core.jobs.resource_vectors import add_vectors, elementwise_minimum
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.tenants.policy import TenantName
 
 
-def find_doubts(tasks: Iterable[TaskProgress], unsettled: list[Worker]) -> dict[TenantName, Needs]:
+def find_doubts(
+    tasks: Iterable[TaskProgress], unsettled: list[Worker]
+) -> dict[TenantName, ResourceVector]:
     """Return what each tenant may have running on workers that have not told what they run.
 
     Parameters
@@ -28,13 +30,15 @@
     """
     if not unsettled:
         return {}
-    room = Needs()
+    room = ResourceVector()
     for worker in unsettled:
-        room = plus(room, worker.record.capacity)
-    doubts: dict[TenantName, Needs] = {}
+        room = add_vectors(room, worker.record.capacity)
+    doubts: dict[TenantName, ResourceVector] = {}
     for task in tasks:
         step = task.step
         tenant = step.job.spec.tenant
         if tenant and not step.job.state.is_final:
-            doubts[tenant] = bounded(plus(doubts.get(tenant, Needs()), step.needs), room)
+            doubts[tenant] = elementwise_minimum(
+                add_vectors(doubts.get(tenant, ResourceVector()), step.needs), room
+            )
     return doubts
--- a/src/onyxspoke/core/placement/worker_record.py
+++ b/src/onyxspoke/core/placement/worker_record.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 
 
 class WorkerListing(Enum):
@@ -38,7 +38,7 @@
     port: int
     service: str
     zone: str
-    capacity: Needs
+    capacity: ResourceVector
     kind: str = ""
     rack: str = ""
     labels: tuple[str, ...] = ()
--- a/src/onyxspoke/core/placement/worker_speed_preference.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -35,7 +35,7 @@
 
     def __init__(self, step: StepProgress, now: float) -> None:
         due_at = step.due_at + step.job.expected_objective_seconds
-        slack = due_at - now - step.expected_chain_seconds
+        slack = due_at - now - step.expected_remaining_path_seconds
         seconds = step.expected_seconds
         self._bearable = 1.0 + SLACK_SHARE * slack / seconds if seconds > 0.0 else 1.0
 
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from onyxspoke.core.estimates.speeds import WorkerSpeed
-from onyxspoke.core.jobs.model import Needs, RunKey
+from onyxspoke.core.jobs.model import ResourceVector, RunKey
 from onyxspoke.core.jobs.states import RunEnd, RunState
 from onyxspoke.core.placement.health import WorkerHealth
 from onyxspoke.core.placement.pacing import FULL_PERCENT, WorkerPace
@@ -214,7 +214,7 @@
         """Whether its runs hold more than there is."""
         return self.free_processors < 0 or self.free_memory < 0 or self.free_accelerators < 0
 
-    def fits(self, needs: Needs) -> bool:
+    def fits(self, needs: ResourceVector) -> bool:
         """Return whether there is room."""
         return (
             needs.processors_milli <= self.free_processors
--- a/src/onyxspoke/core/planned_stop.py
+++ b/src/onyxspoke/core/planned_stop.py
@@ -5,13 +5,13 @@
 from onyxspoke.core.actions import StopCompleted
 from onyxspoke.core.context import EntryContext
 from onyxspoke.core.job_runner import JobRunner
-from onyxspoke.core.ownership_keeper import OwnershipKeeper
+from onyxspoke.core.ownership_manager import OwnershipManager
 
 
 class PlannedStop:
     """Drains an entry after it was told to stop, until its process may exit."""
 
-    def __init__(self, context: EntryContext, ownership: OwnershipKeeper, jobs: JobRunner) -> None:
+    def __init__(self, context: EntryContext, ownership: OwnershipManager, jobs: JobRunner) -> None:
         self._context = context
         self._ownership = ownership
         self._jobs = jobs
@@ -25,7 +25,7 @@
             return
         self._context.stopping = True
         # Peers must learn of the stop now, or they would still leave workers to this entry.
-        self._context.cell_appends.stopping = True
+        self._context.cell_append_queue.stopping = True
         self._started_at = now
 
     def keep(self, now: float) -> None:
@@ -44,11 +44,11 @@
 
     def _is_busy(self, now: float) -> bool:
         # The load balancer needs time to notice the failed health check.
-        minimum_not_elapsed = now < self._started_at + self._context.options.stop_linger_seconds
+        minimum_not_elapsed = now < self._started_at + self._context.options.minimum_stop_seconds
         return minimum_not_elapsed or bool(self._context.requests) or self._jobs.running_count > 0
 
     def _is_release_finished(self, now: float) -> bool:
         # A release only speeds up the takeover, so an unavailable log delays the stop by at
         # most one lease.
         timed_out = now - self._released_at >= self._context.options.lease.lease_seconds
-        return timed_out or self._context.cell_appends.is_idle
+        return timed_out or self._context.cell_append_queue.is_idle
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -25,7 +25,7 @@
     SettingsApply,
     WorkerDrain,
 )
-from onyxspoke.core.ownership_keeper import OwnershipKeeper
+from onyxspoke.core.ownership_manager import OwnershipManager
 from onyxspoke.core.peer_keeper import PeerKeeper
 from onyxspoke.core.planned_stop import PlannedStop
 from onyxspoke.core.request_dispatcher import RequestDispatcher
@@ -55,7 +55,7 @@
     is_task_name,
     split_task_name,
 )
-from onyxspoke.core.settings_watch import PendingChanges, SettingsWatch
+from onyxspoke.core.settings_propagation import PendingChanges, SettingsPropagation
 
 
 class EntryScheduler:
@@ -75,9 +75,9 @@
         self.keys = KeyGuard(self.context, self.dispatcher)
         self.acceptance = JobAcceptance(self.context)
         self.jobs = JobRunner(self.context, self.dispatcher)
-        self.ownership = OwnershipKeeper(self.context)
+        self.ownership = OwnershipManager(self.context)
         self.holdover = HoldoverKeeper(self.context)
-        self.settings_watch = SettingsWatch(self.context)
+        self.settings_propagation = SettingsPropagation(self.context)
         self.pending_changes = PendingChanges(self.context)
         self.log = LogFollower(
             self.context,
@@ -85,7 +85,7 @@
             self.keys,
             self.acceptance,
             self.jobs,
-            self.settings_watch,
+            self.settings_propagation,
             self.pending_changes,
         )
         self.peers = PeerKeeper(self.context)
@@ -108,7 +108,7 @@
             self.dispatcher.place_or_queue(active, now)
         return self._take_actions(now)
 
-    def on_hang_up(self, request_id: str, now: float) -> list[Action]:
+    def on_caller_disconnected(self, request_id: str, now: float) -> list[Action]:
         """A caller went away without its answer."""
         request = self.context.requests.get(request_id)
         if request is not None:
@@ -211,7 +211,7 @@
 
     def on_append_failed(self, stream: LogStream, now: float) -> list[Action]:
         """An append was refused, or its answer was lost; it is sent again later."""
-        self.context.appends[stream].handle_failure(now)
+        self.context.append_queues[stream].handle_failure(now)
         return self._take_actions(now)
 
     def on_settings_change(self, apply: SettingsApply, now: float) -> list[Action]:
@@ -221,7 +221,7 @@
 
     def on_drain(self, worker_id: WorkerId, draining: bool, now: float) -> list[Action]:
         """An operator takes a worker out of use or back into it."""
-        self.context.cell_appends.add(WorkerDrain(worker_id, draining))
+        self.context.cell_append_queue.add(WorkerDrain(worker_id, draining))
         return self._take_actions(now)
 
     # Peers
@@ -251,7 +251,7 @@
         now: float,
     ) -> list[Action]:
         """A peer advertised its free capacity and its settings revision."""
-        self.settings_watch.handle_peer_revision(peer_id, settings_revision, now)
+        self.settings_propagation.handle_peer_revision(peer_id, settings_revision, now)
         lifetime = self.context.options.advertisement_lifetime_seconds
         self.context.peers.handle_advertisement(peer_id, free, largest_free, now + lifetime)
         self.dispatcher.pump(now)
@@ -338,7 +338,7 @@
         self.ownership.reattach(now)
         self.holdover.keep(now)
         self.log.keep_snapshots(now)
-        self.settings_watch.keep(now)
+        self.settings_propagation.keep(now)
         self.pending_changes.keep(now)
         self.jobs.keep(now)
         self.keys.refuse_while_log_is_down(now)
@@ -362,7 +362,7 @@
 
     def next_append_at(self) -> float | None:
         """Return when the shell should tick for the sake of waiting records."""
-        moments = [appends.due_at() for appends in self.context.appends.values()]
+        moments = [appends.due_at() for appends in self.context.append_queues.values()]
         return min((moment for moment in moments if moment is not None), default=None)
 
     # Internals
@@ -419,7 +419,7 @@
         self.context.workers.release(worker_id, attempt_id)
 
     def _take_actions(self, now: float) -> list[Action]:
-        for stream, appends in self.context.appends.items():
+        for stream, appends in self.context.append_queues.items():
             batch = appends.next_batch(now)
             if batch is not None:
                 self.context.emit(AppendBatch(stream, batch))
--- a/src/onyxspoke/core/settings_in_force.py
+++ b/src/onyxspoke/core/settings_in_force.py
@@ -29,7 +29,7 @@
     return task_class
 
 
-def admits(context: EntryContext, task_class: TaskClass) -> bool:
+def admits_new_work(context: EntryContext, task_class: TaskClass) -> bool:
     """Return whether new work of a service is let in."""
     admitted = context.settings.resolve(_path_of(context, task_class), "service.admitted")
     return admitted is None or bool(admitted.value)
--- a/src/onyxspoke/core/settings_watch.py
+++ b/src/onyxspoke/core/settings_propagation.py
@@ -39,7 +39,7 @@
         """Send a change to the log."""
         give_up_at = now + self._context.options.settings_patience_seconds
         self._pending[apply.change_id] = PendingChange(apply, give_up_at)
-        self._context.appends[LogStream.SETTINGS].add(apply)
+        self._context.append_queues[LogStream.SETTINGS].add(apply)
 
     def handle_read(self, change_id: str) -> None:
         """Note that a change was read back and decided."""
@@ -47,7 +47,7 @@
 
     def keep(self, now: float) -> None:
         """Give up changes whose time has passed."""
-        appends = self._context.appends[LogStream.SETTINGS]
+        appends = self._context.append_queues[LogStream.SETTINGS]
         for change_id, pending in list(self._pending.items()):
             if now < pending.give_up_at:
                 continue
@@ -58,7 +58,7 @@
             self._context.emit(SettingsRefused(change_id, code))
 
 
-class SettingsWatch:
+class SettingsPropagation:
     """Waits for the peers' word on accepted changes.
 
     Peers tell their revision with their advertisements; all times are of this entry's own
@@ -97,7 +97,7 @@
             awaited.missing &= live
         self._report(now)
 
-    def laggards(self, now: float) -> list[EntryId]:
+    def lagging_peers(self, now: float) -> list[EntryId]:
         """Return the live peers that have not folded this entry's revision."""
         revision = self._context.settings.revision
         return [
@@ -107,8 +107,8 @@
         ]
 
     def _live_peers(self, now: float) -> list[EntryId]:
-        lapse_seconds = self._context.options.lease.lapse_seconds
-        live = self._context.cell.all_live_members(now, lapse_seconds)
+        member_timeout_seconds = self._context.options.lease.member_timeout_seconds
+        live = self._context.cell.all_live_members(now, member_timeout_seconds)
         own_id = self._context.identity.entry_id
         return sorted(entry_id for entry_id in live if entry_id != own_id)
 
--- a/src/onyxspoke/core/settings_tree.py
+++ b/src/onyxspoke/core/settings_tree.py
@@ -117,7 +117,7 @@
     return [*levels, ""]
 
 
-def find_fault(change: SettingChange) -> str:
+def find_schema_violation(change: SettingChange) -> str:
     """Return what is wrong with a change by the schema, or an empty string."""
     definition = SETTING_DEFINITIONS.get(change.key)
     if definition is None:
@@ -266,7 +266,7 @@
             if self.revision_of(change.path, change.key) != change.expected_revision:
                 winner = self._values.get((change.path, change.key))
                 return SettingsVerdict(False, offset, change, winner)
-            if find_fault(change):
+            if find_schema_violation(change):
                 return SettingsVerdict(False, offset, change)
         return SettingsVerdict(True, offset)
 
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.shard.calls import CallReply
 from onyxspoke.core.shard.layout import CellLayout
 from onyxspoke.core.shard.log_records import ShardAppend, ShardId
-from onyxspoke.core.tenants.bank import QuotaRequest
+from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
 Token = int
 FieldValue = str | int | float
--- a/src/onyxspoke/core/shard/admission_controller.py
+++ b/src/onyxspoke/core/shard/admission_controller.py
@@ -272,7 +272,7 @@
         """Return whether a job is owed and of the queue that goes first at its service."""
         if job.rank.is_over_share:
             return False
-        first = self._context.policy.first_priority(job.service)
+        first = self._context.policy.highest_priority(job.service)
         return first is None or job.rank.priority <= first
 
     def _refuse_one_for_store(self, spec: JobSpec, job: SubmittedJob, now: float) -> float:
--- a/src/onyxspoke/core/shard/call_handler.py
+++ b/src/onyxspoke/core/shard/call_handler.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from onyxspoke.core.admission.refused_jobs import RefusedJob
-from onyxspoke.core.jobs.book import Submission
+from onyxspoke.core.jobs.job_registry import SubmissionOutcome
 from onyxspoke.core.jobs.model import JobId, JobSpec, QueuePolicy
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.shard.actions import ReplyToCall
@@ -30,7 +30,7 @@
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.shard.quota_coordinator import QuotaCoordinator
 from onyxspoke.core.shard.run_manager import RunManager
-from onyxspoke.core.tenants.keys import may_see
+from onyxspoke.core.tenants.keys import may_access_job
 
 #: An append that is open for so long, beyond trouble, leaves what waits for it unknown.
 SILENCE_SECONDS = 0.4
@@ -109,7 +109,7 @@
         job_registry = context.job_registry
         job_id = spec.job_id
         known = job_registry.jobs.get(job_id)
-        if known is not None and not may_see(known.spec.tenant, spec.tenant):
+        if known is not None and not may_access_job(known.spec.tenant, spec.tenant):
             self._refuse(_PendingReply(context, call_id, job_id), _ANOTHER_TENANTS)
             return
         if known is not None and known.committed_state is not None:
@@ -135,7 +135,7 @@
                 return
         outcome = job_registry.submit(spec, now, first_submitted_at)
         context.needs_placement = True
-        if outcome is Submission.NEW:
+        if outcome is SubmissionOutcome.NEW:
             self._log_taken(spec)
         pending = _PendingReply(context, call_id, job_id, "job_accepted")
         if job_id in job_registry.dirty:
@@ -154,7 +154,7 @@
         if refused is not None and now <= refused.expires_at:
             is_entitled = refused.is_entitled
         else:
-            is_entitled = context.shares.take(policy, context.shard_count, now)
+            is_entitled = context.share_meter.consume(policy, context.shard_count, now)
         return msgspec.structs.replace(spec, is_over_share=not is_entitled)
 
     def _log_taken(self, spec: JobSpec) -> None:
--- a/src/onyxspoke/core/shard/calls.py
+++ b/src/onyxspoke/core/shard/calls.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import JobId, JobSpec, Needs
-from onyxspoke.core.tenants.bank import QuotaRequest
+from onyxspoke.core.jobs.model import JobId, JobSpec, ResourceVector
 from onyxspoke.core.tenants.policy import TenantName
+from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
 
 class SubmitCall(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -92,7 +92,7 @@
         The job's state as a word, for :class:`StateCall`.
     waiting : int
         For :class:`WaitingCountCall`.
-    granted : Needs or None
+    granted : ResourceVector or None
         What may be running, for :class:`QuotaCall`.
     retry_after_seconds : float
         When to come back, for ``REFUSED`` and ``UNKNOWN``.
@@ -105,4 +105,4 @@
     waiting: int = 0
     retry_after_seconds: float = 0.0
     reason: str = ""
-    granted: Needs | None = None
+    granted: ResourceVector | None = None
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.jobs.book import JobBook
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.jobs.job_registry import JobRegistry
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.worker_table import WorkerTable
@@ -24,9 +24,9 @@
 from onyxspoke.core.shard.layout import CellLayout
 from onyxspoke.core.shard.load_options import LoadOptions
 from onyxspoke.core.shard.log_records import ShardId
-from onyxspoke.core.tenants.bank import QuotaBank
-from onyxspoke.core.tenants.ledger import QuotaLedger
-from onyxspoke.core.tenants.shares import ShareMeter
+from onyxspoke.core.tenants.quota_lender import QuotaLender
+from onyxspoke.core.tenants.quota_usage import QuotaUsage
+from onyxspoke.core.tenants.share_meter import ShareMeter
 
 _MILLISECONDS = 1_000.0
 
@@ -88,14 +88,16 @@
     def __init__(self, options: ShardOptions, token: int, shard: ShardId = 0) -> None:
         self.options = options
         self.token = token
-        self.durations = Durations(options.load.learned_estimates)
-        self.job_registry = JobBook(options.finished_job_retention_seconds, self.durations.work_of)
+        self.durations = DurationEstimator(options.load.learned_estimates)
+        self.job_registry = JobRegistry(
+            options.finished_job_retention_seconds, self.durations.work_model_for
+        )
         self.table = WorkerTable()
         self.advice_dispatcher = AdviceDispatcher(shard, options.load.advice_shares)
         self.shard = shard
-        self.ledger = QuotaLedger()
-        self.bank = QuotaBank(shard)
-        self.shares = ShareMeter()
+        self.quota_usage = QuotaUsage()
+        self.quota_lender = QuotaLender(shard)
+        self.share_meter = ShareMeter()
         #: Shards of the cell, which share every tenant's quota and weight.
         self.shard_count = 1
         self.policy = PolicySet()
--- a/src/onyxspoke/core/shard/estimates_manager.py
+++ b/src/onyxspoke/core/shard/estimates_manager.py
@@ -9,7 +9,7 @@
     encode_estimates,
     restore_estimates,
 )
-from onyxspoke.core.estimates.report import FactorChange, take_changes
+from onyxspoke.core.estimates.report import FactorChange, take_factor_changes
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.shard.log_records import ESTIMATES_KEY, ShardRecord
 
@@ -35,11 +35,11 @@
     def tick(self, now: float) -> None:
         """Work out anew what was learned, if that is due, and tell what changed much."""
         durations = self._context.durations
-        durations.watched_since = max(durations.watched_since, self._context.stall_ended_at)
-        if not durations.keep(now):
+        durations.observing_since = max(durations.observing_since, self._context.stall_ended_at)
+        if not durations.refresh_if_due(now):
             return
         self._looked_at = now
-        for change in take_changes(durations, now):
+        for change in take_factor_changes(durations, now):
             self._has_changed = True
             self._log(change)
 
@@ -51,14 +51,14 @@
     @property
     def _is_due(self) -> bool:
         is_paused = self._looked_at - self._recorded_at < RECORD_SECONDS
-        return self._context.durations.has_news and not is_paused
+        return self._context.durations.has_unrecorded_observations and not is_paused
 
     def collect_records(self) -> list[ShardRecord]:
         """Return the record to go with an append, if one is due."""
         if not self._is_due:
             return []
         durations = self._context.durations
-        durations.has_news = False
+        durations.has_unrecorded_observations = False
         self._has_changed = False
         self._recorded_at = self._looked_at
         return [ShardRecord(ESTIMATES_KEY, encode_estimates(durations, self._looked_at))]
@@ -66,7 +66,7 @@
     def _log(self, change: FactorChange) -> None:
         figures = {
             "factor": round(change.factor, 2),
-            "former": round(change.former, 2),
+            "former": round(change.previous_factor, 2),
             "evidence": round(change.evidence, 1),
         }
         if change.worker_id:
--- a/src/onyxspoke/core/shard/journal.py
+++ b/src/onyxspoke/core/shard/journal.py
@@ -35,7 +35,7 @@
     encode_claim,
 )
 from onyxspoke.core.shard.worker_registry import WorkerRegistry
-from onyxspoke.core.tenants.bank import QUOTA_PREFIX
+from onyxspoke.core.tenants.quota_lender import QUOTA_PREFIX
 
 #: A job that waits is not taken for older than this, whatever the clocks say.
 LONGEST_AGE_SECONDS = 600.0
@@ -65,7 +65,7 @@
         return (
             bool(context.job_registry.dirty)
             or self._worker_registry.is_dirty
-            or bool(context.bank.dirty)
+            or bool(context.quota_lender.dirty)
             or context.new_layout is not None
             or self._estimates.needs_append
             or self._is_marker_due()
@@ -112,10 +112,12 @@
         return [encode_layout(layout)]
 
     def _quota_records(self) -> list[ShardRecord]:
-        bank = self._context.bank
-        tenants = list(bank.dirty)
-        bank.dirty.clear()
-        return [ShardRecord(QUOTA_PREFIX + tenant, bank.encode(tenant)) for tenant in tenants]
+        quota_lender = self._context.quota_lender
+        tenants = list(quota_lender.dirty)
+        quota_lender.dirty.clear()
+        return [
+            ShardRecord(QUOTA_PREFIX + tenant, quota_lender.encode(tenant)) for tenant in tenants
+        ]
 
     def _job_records(self, job_id: JobId) -> list[ShardRecord]:
         job_registry = self._context.job_registry
@@ -200,7 +202,7 @@
 
 def _restore_loans(context: ShardContext, record: ShardRecord) -> None:
     try:
-        context.bank.restore(record.key.removeprefix(QUOTA_PREFIX), record.value)
+        context.quota_lender.restore(record.key.removeprefix(QUOTA_PREFIX), record.value)
     except msgspec.MsgspecError as error:
         context.log("record_unreadable", key=record.key, error=str(error))
 
--- a/src/onyxspoke/core/shard/run_manager.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from onyxspoke.core.codes import ResultCode
-from onyxspoke.core.jobs.crashes import Blame
+from onyxspoke.core.jobs.crashes import CrashBlame
 from onyxspoke.core.jobs.model import RunKey, StepKey
-from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
+from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, task_with_checkpoint
 from onyxspoke.core.jobs.states import JobState, RunEnd, RunState, TaskState
 from onyxspoke.core.placement.blame import IncarnationEndReason, blame_runs, has_crashed
 from onyxspoke.core.placement.capacity_seeker import PreemptionRequest
@@ -39,7 +39,7 @@
         """Count a run on its worker and for its tenant, until its end is certain."""
         run.worker.add(run)
         run.task.placed_on = run.worker.worker_id
-        self._context.ledger.add(run.task.step.job.spec.tenant, run.needs)
+        self._context.quota_usage.add(run.task.step.job.spec.tenant, run.needs)
 
     def stop(self, run: Run, now: float, reason: str) -> None:
         """Order the end of a run, again and again until it has ended."""
@@ -149,10 +149,10 @@
 
     def _note_begun(self, run: Run, now: float) -> None:
         job = run.task.step.job
-        if not job.begun:
+        if not job.has_started:
             seconds = now - job.accepted_at
             self._context.emit(JobStarted(job.spec.queue.name, job.spec.tenant, seconds))
-        self._context.job_registry.task_begun(run.task, now)
+        self._context.job_registry.task_run_confirmed(run.task, now)
 
     def abandon_all(
         self,
@@ -170,7 +170,7 @@
         """
         is_crash = has_crashed(worker, sign)
         blamed = blame_runs(worker, now) if is_crash else []
-        doubted = self._context.job_registry.tasks_doubted_on(worker.worker_id) if is_crash else []
+        doubted = self._context.job_registry.tasks_in_doubt_on(worker.worker_id) if is_crash else []
         if next_life is not None:
             self.hand_over_starts(worker, next_life, now)
         for run in list(worker.runs.values()):
@@ -181,7 +181,7 @@
             self._note_crash(run.task, worker, blame, now)
         for task in doubted:
             # Whether it was ordered, and what else had just begun, only the former holder knew.
-            self._note_crash(task, worker, Blame.DOUBTED, now)
+            self._note_crash(task, worker, CrashBlame.UNCONFIRMED, now)
 
     def hand_over_starts(self, worker: Worker, next_life: Worker, now: float) -> None:
         """Starts that stand open may yet be carried out by the next life: settle them there.
@@ -208,7 +208,9 @@
         else:
             self.stop(run, now, "worker_started_again")
 
-    def _note_crash(self, task: TaskProgress, worker: Worker, blame: Blame, now: float) -> None:
+    def _note_crash(
+        self, task: TaskProgress, worker: Worker, blame: CrashBlame, now: float
+    ) -> None:
         """Count a crash under a task before it can be started again."""
         is_given_up = self._context.job_registry.task_crashed(task, blame, now)
         tally = task.crashes
@@ -232,7 +234,7 @@
         self._stopping.pop(run.key, None)
         worker = run.worker
         worker.remove(run)
-        self._context.ledger.remove(run.task.step.job.spec.tenant, run.needs)
+        self._context.quota_usage.remove(run.task.step.job.spec.tenant, run.needs)
         self._context.table.note_capacity_gain(worker)
         worker.note_ended(run.key, end)
         task = run.task
@@ -241,7 +243,7 @@
             task.placed_on = ""
         self._context.needs_placement = True
         if end is RunEnd.FAILED:
-            task.failed_on = worker.worker_id
+            task.last_failed_worker_id = worker.worker_id
             self._context.job_registry.task_failed(task, run.number, now)
             if worker.health.note_failure(task.step.job.job_id, now):
                 self._context.log("worker_avoided", worker=worker.worker_id, reason="failures")
@@ -252,7 +254,7 @@
         elif end is RunEnd.DONE:
             self.complete(task, now)
         elif task.state is TaskState.ACTIVE:
-            self._context.job_registry.task_waits(task)
+            self._context.job_registry.task_requeued(task)
         self.stop_if_final(task.step, now)
 
     def _end_gang_member(self, run: Run, gang: GangRun, end: RunEnd, now: float) -> None:
@@ -269,13 +271,13 @@
             self.gangs.pop(step.key, None)
             for task in step.tasks:
                 if task.state is TaskState.ACTIVE:
-                    self._context.job_registry.task_waits(task)
+                    self._context.job_registry.task_requeued(task)
 
     def complete(self, task: TaskProgress, now: float) -> None:
         """Note that a task ended well; of a gang, one such end stands for all."""
         step = task.step
         if step.spec.long_running:
-            self._context.job_registry.task_waits(task)
+            self._context.job_registry.task_requeued(task)
             return
         tasks = step.tasks if step.spec.gang else [task]
         for ended in tasks:
@@ -294,7 +296,7 @@
     def note_checkpoint(self, task: TaskProgress, checkpoint: str) -> None:
         """Remember from where a task may resume, if a worker told."""
         if checkpoint:
-            self._context.job_registry.note_checkpoint(checkpoint_holder(task), checkpoint)
+            self._context.job_registry.note_checkpoint(task_with_checkpoint(task), checkpoint)
 
     def repair_gangs(self, now: float, keys: set[StepKey] | None = None) -> None:
         """Once all runs of them are known, end gangs of which members are missing.
--- a/src/onyxspoke/core/shard/run_reconciler.py
+++ b/src/onyxspoke/core/shard/run_reconciler.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import RunKey
-from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, checkpoint_holder
+from onyxspoke.core.jobs.progress import StepProgress, TaskProgress, task_with_checkpoint
 from onyxspoke.core.jobs.states import RunEnd, RunState, TaskState
 from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
 from onyxspoke.core.placement.workers import Worker
@@ -66,10 +66,10 @@
     def _take_end(self, worker: Worker, report: EndReport, now: float) -> None:
         run = worker.runs.get(report.run)
         if run is not None:
-            self._context.job_registry.task_begun(run.task, now)
+            self._context.job_registry.task_run_confirmed(run.task, now)
             self._runs.note_checkpoint(run.task, report.checkpoint)
             self._runs.log_end(run, report)
-            self._context.durations.note_end(run, report.end, now)
+            self._context.durations.observe_run_end(run, report.end, now)
             self._runs.end_run(run, report.end, now)
         elif report.run not in worker.ended_runs:
             self._take_unknown_end(worker, report, now)
@@ -80,8 +80,8 @@
         if task is None or task.state is TaskState.DONE or task.step.job.state.is_final:
             return
         step = task.step
-        step.last_number = max(step.last_number, report.run.number)
-        self._context.job_registry.task_begun(task, now)
+        step.last_run_number = max(step.last_run_number, report.run.number)
+        self._context.job_registry.task_run_confirmed(task, now)
         self._runs.note_checkpoint(task, report.checkpoint)
         self._context.log(
             "end_recovered",
@@ -94,7 +94,7 @@
         if is_for_good and task.run is None:
             self._runs.complete(task, now)
         elif report.end is RunEnd.FAILED:
-            task.failed_on = worker.worker_id
+            task.last_failed_worker_id = worker.worker_id
             self._context.job_registry.task_failed(task, report.run.number, now)
             self._runs.stop_if_final(step, now)
         self._context.needs_placement = True
@@ -109,11 +109,11 @@
         if report.percent != run.percent:
             run.percent = report.percent
             run.progressed_at = now
-            self._context.durations.note_progress(run, now)
+            self._context.durations.observe_progress(run, now)
         run.listed_at = now
         run.usage = report.usage
         if report.checkpoint:
-            checkpoint_holder(run.task).checkpoint = report.checkpoint
+            task_with_checkpoint(run.task).checkpoint = report.checkpoint
 
     def _take_unknown_run(self, worker: Worker, report: RunningReport, now: float) -> None:
         """Adopt a run of a former holder, or order its end."""
@@ -142,16 +142,16 @@
         run.confirmed_at = now
         run.percent = report.percent
         run.is_resumed = True
-        step.last_number = max(step.last_number, run.number)
+        step.last_run_number = max(step.last_run_number, run.number)
         task.run = run
         if report.checkpoint:
-            checkpoint_holder(task).checkpoint = report.checkpoint
+            task_with_checkpoint(task).checkpoint = report.checkpoint
         if task.placed_on != worker.worker_id:
             # A later holder is to know it, too.
             self._context.job_registry.dirty[step.job.job_id] = None
         self._runs.hold_room(run)
-        self._context.job_registry.task_started(task)
-        self._context.job_registry.task_begun(task, now)
+        self._context.job_registry.task_activated(task)
+        self._context.job_registry.task_run_confirmed(task, now)
         self._runs.log_run("run_adopted", run)
         if gang is not None and gang.is_broken:
             self._runs.stop(run, now, "gang_broken")
@@ -183,7 +183,7 @@
 
     def settle_worker(self, worker: Worker, now: float) -> None:
         """What a worker runs is known: draw the consequences for what it might have run."""
-        steps = self._context.job_registry.settle_worker(worker.worker_id, now)
+        steps = self._context.job_registry.requeue_tasks_in_doubt_on(worker.worker_id, now)
         if steps:
             self._context.needs_placement = True
         keys = {step.key for step in steps if not step.in_doubt}
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import RunKey
-from onyxspoke.core.jobs.progress import StepProgress, checkpoint_of
+from onyxspoke.core.jobs.progress import StepProgress, resume_checkpoint
 from onyxspoke.core.jobs.states import RunEnd, RunState
 from onyxspoke.core.placement.isolation import isolate_worker_of
 from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
@@ -70,10 +70,10 @@
         """Reserve room for one run."""
         task, worker = placement.task, placement.worker
         run = Run(task, number, worker, now, gang)
-        run.is_resumed = bool(checkpoint_of(task))
+        run.is_resumed = bool(resume_checkpoint(task))
         task.run = run
         self._runs.hold_room(run)
-        self._context.job_registry.task_started(task)
+        self._context.job_registry.task_activated(task)
         isolate_worker_of(run, now)
         return run
 
@@ -142,7 +142,7 @@
                 run=run.key,
                 payload=job.spec.payload,
                 until_ms=run.start_valid_until_ms,
-                checkpoint=checkpoint_of(task),
+                checkpoint=resume_checkpoint(task),
                 ticket=self._ticket(run, now) or "",
             )
         )
@@ -186,8 +186,8 @@
 
     def _next_number(self, step: StepProgress) -> int:
         base = self._context.token * NUMBERS_A_TOKEN
-        step.last_number = max(step.last_number + 1, base)
-        return step.last_number
+        step.last_run_number = max(step.last_run_number + 1, base)
+        return step.last_run_number
 
 
 class _OrderStarts:
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -56,7 +56,7 @@
 from onyxspoke.core.shard.run_starter import RunStarter
 from onyxspoke.core.shard.worker_manager import WorkerManager
 from onyxspoke.core.shard.worker_registry import WorkerRegistry
-from onyxspoke.core.tenants.bank import QuotaRequest
+from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
 #: The loop stood still for longer: the process may have been paused.
 STALL_SECONDS = 0.7
@@ -157,10 +157,10 @@
         self.context.wall_offset_ms = wall_ms - now * _MILLISECONDS
         self.context.job_registry.is_recovering = True
         restore_records(self.context, self.worker_registry, records, now)
-        for worker_id in self.context.job_registry.doubted_workers():
+        for worker_id in self.context.job_registry.workers_with_tasks_in_doubt():
             if worker_id not in self.context.table.workers:
                 # Its record was dropped when it was certain that it ran nothing more.
-                self.context.job_registry.settle_worker(worker_id, now)
+                self.context.job_registry.requeue_tasks_in_doubt_on(worker_id, now)
         self._is_recovered = True
         self._last_active_at = now
         return self.flush(now)
@@ -182,7 +182,7 @@
     def on_policy(self, policy: PolicySet, now: float) -> None:
         """The operator's configuration changed."""
         self.context.policy = policy
-        self.context.shares.keep_only(set(policy.tenants))
+        self.context.share_meter.keep_only(set(policy.tenants))
         self._placer.reconsider_all()
         self.context.needs_placement = True
 
@@ -326,7 +326,7 @@
 
     def _keep_slowly(self, now: float, wall_ms: float) -> None:
         """Look at everything that need not be looked at on every tick."""
-        self.context.job_registry.keep(now, wall_ms, self._options.early_ms)
+        self.context.job_registry.tick(now, wall_ms, self._options.early_ms)
         self.runs.tick(now)
         self._evacuation.tick(now)
         self._paces.tick(now)
@@ -398,7 +398,7 @@
 
     def _log_over_quota(self, step: StepProgress) -> None:
         tenant = step.job.spec.tenant
-        used = self.context.ledger.used(tenant)
+        used = self.context.quota_usage.used(tenant)
         policy = self.context.policy.tenants.get(tenant)
         self.context.log(
             "step_over_quota",
--- a/src/onyxspoke/core/shard/tenant_summary.py
+++ b/src/onyxspoke/core/shard/tenant_summary.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.tenants.policy import TenantName
 
@@ -18,9 +18,9 @@
     ----------
     running_jobs, waiting_jobs : int
         Open jobs of which something has begun, and of which nothing has.
-    used : Needs
+    used : ResourceVector
         What its runs take, those in doubt and being stopped among them.
-    quota : Needs
+    quota : ResourceVector
         This shard's part of its quota; 0 sets no limit.
     over_quota_steps : int
         Steps that wait because its quota is used up.
@@ -32,8 +32,8 @@
     weight: float
     running_jobs: int = 0
     waiting_jobs: int = 0
-    used: Needs = Needs()
-    quota: Needs = Needs()
+    used: ResourceVector = ResourceVector()
+    quota: ResourceVector = ResourceVector()
     over_quota_steps: int = 0
     owed: int = 0
     beyond: int = 0
@@ -46,7 +46,7 @@
 
 
 def summarise_tenants(
-    context: ShardContext, allocation_of: Callable[[TenantName], Needs]
+    context: ShardContext, allocation_of: Callable[[TenantName], ResourceVector]
 ) -> list[TenantSummary]:
     """Return what is known of every tenant of the configuration, in order of their names."""
     policies = context.policy.tenants
@@ -54,10 +54,10 @@
         name: TenantSummary(
             tenant=name,
             weight=policy.weight,
-            used=context.ledger.used(name),
+            used=context.quota_usage.used(name),
             quota=_limits(allocation_of(name), policy.quota),
-            owed=context.shares.owed_count(name),
-            beyond=context.shares.beyond_count(name),
+            owed=context.share_meter.entitled_count(name),
+            beyond=context.share_meter.over_share_count(name),
         )
         for name, policy in policies.items()
     }
@@ -65,7 +65,7 @@
         found = summaries.get(job.spec.tenant)
         if found is None or job.state.is_final:
             continue
-        if job.begun:
+        if job.has_started:
             found.running_jobs += 1
         else:
             found.waiting_jobs += 1
@@ -73,6 +73,6 @@
     return [summaries[name] for name in sorted(summaries)]
 
 
-def _limits(part: Needs, quota: Needs) -> Needs:
+def _limits(part: ResourceVector, quota: ResourceVector) -> ResourceVector:
     """Return a shard's part of a quota, with 0 where the quota sets no limit."""
-    return Needs(*(own if whole else 0 for own, whole in zip(part, quota, strict=True)))
+    return ResourceVector(*(own if whole else 0 for own, whole in zip(part, quota, strict=True)))
