--- a/src/onyxspoke/core/shard/worker_manager.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -276,7 +276,7 @@
         self._settled_once = True
         self._context.log("recovery_complete", workers=len(self._context.table.workers))
         self._context.job_registry.is_recovering = False
-        self._context.job_registry.settle_doubt(now)
+        self._context.job_registry.requeue_tasks_in_doubt(now)
         self._runs.repair_gangs(now)
         self._context.needs_placement = True
 
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 from onyxspoke.core.placement.worker_clock import SLOWEST_CLOCK_FACTOR
 from onyxspoke.core.placement.worker_record import (
     EntryFault,
@@ -195,7 +195,7 @@
         worker.born_ms = born_ms
         births = (*former.previous_starts_ms, former.born_ms)
         worker.previous_starts_ms = births[-MAX_PREVIOUS_STARTS:]
-        worker.speed = self._context.durations.begin_life(
+        worker.speed = self._context.durations.begin_incarnation(
             worker.worker_id, born_ms, worker.record.kind, now
         )
         self._take_open_starts(worker, now)
@@ -217,7 +217,7 @@
         """Return the longest lease that a worker grants, by our clock."""
         return self._context.options.maximum_hold_ms / _MILLISECONDS * SLOWEST_CLOCK_FACTOR
 
-    def _take_capacity(self, worker: Worker, capacity: Needs) -> None:
+    def _take_capacity(self, worker: Worker, capacity: ResourceVector) -> None:
         """Its room has shrunk or grown; all that looks for room sees it from now on."""
         former = worker.record.capacity
         _log(
@@ -237,7 +237,7 @@
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
         worker = Worker(record, self._former_leases_until)
-        worker.speed = self._context.durations.begin_life(
+        worker.speed = self._context.durations.begin_incarnation(
             record.worker_id, record.born_ms, record.kind, now
         )
         self._context.table.workers[record.worker_id] = worker
--- a/src/onyxspoke/core/snapshot.py
+++ b/src/onyxspoke/core/snapshot.py
@@ -27,7 +27,7 @@
     last_offset: Offset
 
 
-class HoldingState(msgspec.Struct, frozen=True, array_like=True):
+class OwnershipState(msgspec.Struct, frozen=True, array_like=True):
     """The owner of one worker in a snapshot."""
 
     worker_id: WorkerId
@@ -50,14 +50,14 @@
     zone: str
     runner: EntryId
     answer: Answer | None
-    started: list[int]
+    started_indexes: list[int]
 
 
 class CellSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """The fold of the cell stream."""
 
     members: list[MemberState]
-    holdings: list[HoldingState]
+    ownerships: list[OwnershipState]
     draining: list[WorkerId]
     keys: list[KeyState]
     jobs: list[JobState]
--- a/src/onyxspoke/core/snapshot_writer.py
+++ b/src/onyxspoke/core/snapshot_writer.py
@@ -47,13 +47,13 @@
         if now - self._seen_at < self._context.options.snapshot_interval_seconds:
             return
         context = self._context
-        live = context.cell.all_live_members(now, context.options.lease.lapse_seconds)
+        live = context.cell.all_live_members(now, context.options.lease.member_timeout_seconds)
         entry_id = context.identity.entry_id
         if preferred(f"snapshot-{self._stream.value}", live) != entry_id:
             return
         self._seen_at = now
         self._counter += 1
         covers, data = self._take()
-        appends = context.appends[self._stream]
+        appends = context.append_queues[self._stream]
         for part in split_snapshot(f"{entry_id}/{self._counter}", covers, data):
             appends.add(part)
--- a/src/onyxspoke/core/tenants/keys.py
+++ b/src/onyxspoke/core/tenants/keys.py
@@ -20,15 +20,17 @@
 class KeyVerdict(Enum):
     """What is done with a call, by the key that came with it.
 
-    ``LOOK_FIRST``: the newest configuration is looked at before the call is answered.
-    ``UNPROVEN``: what is known here may be too old to go by, and nothing newer can be had.
+    ``CONFIGURATION_REFRESH_NEEDED``: the newest configuration is looked at before the call is
+    answered.
+    ``CONFIGURATION_STALE``: what is known here may be too old to go by, and nothing newer can be
+    had.
     """
 
     ADMITTED = "admitted"
     MISSING = "missing"
     UNKNOWN = "unknown"
-    LOOK_FIRST = "look_first"
-    UNPROVEN = "unproven"
+    CONFIGURATION_REFRESH_NEEDED = "look_first"
+    CONFIGURATION_STALE = "unproven"
 
 
 class Credential(msgspec.Struct, frozen=True):
@@ -59,12 +61,12 @@
         return self.owners.get(credential.key)
 
 
-def judge_key(
+def check_key(
     credential: Credential,
     ring: KeyRing,
     proof_age_seconds: float,
     trusted_seconds: float,
-    was_looked_at: bool = False,
+    was_configuration_refreshed: bool = False,
 ) -> KeyVerdict:
     """Return what is done with a call.
 
@@ -74,18 +76,22 @@
         How long ago the version in force here was last known to be the newest.
     trusted_seconds : float
         For how long a version is gone by without such proof.
-    was_looked_at : bool
+    was_configuration_refreshed : bool
         Whether the newest version was read after the call came.
     """
     if not credential.key:
         return KeyVerdict.MISSING
     if ring.tenant_of(credential) is not None:
-        is_trusted = was_looked_at or proof_age_seconds <= trusted_seconds
-        return KeyVerdict.ADMITTED if is_trusted else KeyVerdict.LOOK_FIRST
-    return KeyVerdict.UNKNOWN if was_looked_at else KeyVerdict.LOOK_FIRST
+        is_trusted = was_configuration_refreshed or proof_age_seconds <= trusted_seconds
+        return KeyVerdict.ADMITTED if is_trusted else KeyVerdict.CONFIGURATION_REFRESH_NEEDED
+    return (
+        KeyVerdict.UNKNOWN
+        if was_configuration_refreshed
+        else KeyVerdict.CONFIGURATION_REFRESH_NEEDED
+    )
 
 
-def may_see(owner: TenantName, caller: TenantName) -> bool:
+def may_access_job(owner: TenantName, caller: TenantName) -> bool:
     """Return whether a caller may see and cancel a job.
 
     A job without an owner was handed in where no key was asked for, or before there were
--- a/src/onyxspoke/core/tenants/borrower.py
+++ b/src/onyxspoke/core/tenants/quota_borrower.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
-from onyxspoke.core.jobs.amounts import bounded, plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import add_vectors, elementwise_minimum
 from onyxspoke.core.shard.log_records import ShardId
-from onyxspoke.core.tenants.bank import QuotaRequest
 from onyxspoke.core.tenants.policy import TenantName
+from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
 #: Between two requests for more, in seconds: what comes close together shares one, and one that was
 #: lent less than it asked for asks again.
@@ -25,8 +25,8 @@
 class _Credit:
     """What one tenant may have running here."""
 
-    quota: Needs
-    amount: Needs = field(default_factory=Needs)
+    quota: ResourceVector
+    amount: ResourceVector = field(default_factory=ResourceVector)
     number: int = 0
     sent_at: float = 0.0
     is_waiting: bool = False
@@ -53,23 +53,28 @@
         self._token = token
         self._credits: dict[TenantName, _Credit] = {}
 
-    def amount(self, tenant: TenantName) -> Needs:
+    def amount(self, tenant: TenantName) -> ResourceVector:
         """Return what a tenant may have running here."""
         credit = self._credits.get(tenant)
-        return Needs() if credit is None else credit.amount
-
-    def keep(
-        self, tenant: TenantName, quota: Needs, used: Needs, wanted: Needs, now: float
+        return ResourceVector() if credit is None else credit.amount
+
+    def next_request(
+        self,
+        tenant: TenantName,
+        quota: ResourceVector,
+        used: ResourceVector,
+        wanted: ResourceVector,
+        now: float,
     ) -> QuotaRequest | None:
         """Return a request that is due for a tenant, if any.
 
         Parameters
         ----------
-        quota : Needs
+        quota : ResourceVector
             The tenant's quota in force.
-        used : Needs
+        used : ResourceVector
             What may be running of it here.
-        wanted : Needs
+        wanted : ResourceVector
             What waits beside, and could start.
         """
         credit = self._credits.get(tenant)
@@ -78,13 +83,13 @@
         if _is_lowered(credit.quota, quota):
             # Others may count on what was lent under the former quota: nothing more starts here
             # before the lender has said how much may.
-            credit.amount = bounded(credit.amount, used)
+            credit.amount = elementwise_minimum(credit.amount, used)
         credit.quota = quota
         if credit.is_waiting and now - credit.sent_at < PATIENCE_SECONDS:
             return None
         credit.is_waiting = False
-        target = _within(plus(used, wanted), quota)
-        target = Needs(*map(max, target, used))
+        target = _within(add_vectors(used, wanted), quota)
+        target = ResourceVector(*map(max, target, used))
         if credit.number == 0:
             # A former holder of the shard may have borrowed what nobody returned.
             return self._ask(tenant, credit, target, used, now)
@@ -96,7 +101,7 @@
             return self._ask(tenant, credit, target, used, now)
         return self._return_surplus(tenant, credit, target, used, now)
 
-    def handle_granted(self, request: QuotaRequest, amount: Needs, now: float) -> bool:
+    def handle_granted(self, request: QuotaRequest, amount: ResourceVector, now: float) -> bool:
         """Take the answer to a request; return whether there is more to start with."""
         credit = self._credits.get(request.tenant)
         if credit is None or request.number != credit.number:
@@ -117,7 +122,12 @@
             credit.next_at = now + AGAIN_SECONDS
 
     def _return_surplus(
-        self, tenant: TenantName, credit: _Credit, target: Needs, used: Needs, now: float
+        self,
+        tenant: TenantName,
+        credit: _Credit,
+        target: ResourceVector,
+        used: ResourceVector,
+        now: float,
     ) -> QuotaRequest | None:
         if credit.amount == target:
             credit.surplus_since = None
@@ -130,32 +140,37 @@
         return self._ask(tenant, credit, target, used, now)
 
     def _ask(
-        self, tenant: TenantName, credit: _Credit, target: Needs, used: Needs, now: float
+        self,
+        tenant: TenantName,
+        credit: _Credit,
+        target: ResourceVector,
+        used: ResourceVector,
+        now: float,
     ) -> QuotaRequest:
         credit.number += 1
         credit.sent_at = now
         credit.is_waiting = True
         # What is returned with this is not used any more, whatever becomes of the request.  One
         # that was lent too little offers what it does not use: another may have waited for longer.
-        credit.amount = bounded(credit.amount, used if credit.is_short else target)
+        credit.amount = elementwise_minimum(credit.amount, used if credit.is_short else target)
         return QuotaRequest(
             tenant=tenant,
             shard=self._shard,
             token=self._token,
             number=credit.number,
             amount=target,
-            kept=Needs(*map(max, used, credit.amount)),
+            retained=ResourceVector(*map(max, used, credit.amount)),
         )
 
 
-def _within(amount: Needs, quota: Needs) -> Needs:
+def _within(amount: ResourceVector, quota: ResourceVector) -> ResourceVector:
     """Return an amount that is at most the quota, where that sets a limit."""
-    return Needs(
+    return ResourceVector(
         *(min(have, most) if most else have for have, most in zip(amount, quota, strict=True))
     )
 
 
-def _is_lowered(former: Needs, quota: Needs) -> bool:
+def _is_lowered(former: ResourceVector, quota: ResourceVector) -> bool:
     """Return whether a quota sets a lower limit than another one, on any amount."""
     return any(
         most and (not before or most < before) for before, most in zip(former, quota, strict=True)
--- a/src/onyxspoke/core/tenants/bank.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.amounts import minus, plus
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
+from onyxspoke.core.jobs.resource_vectors import add_vectors, subtract_vectors
 from onyxspoke.core.shard.log_records import ShardId
 from onyxspoke.core.tenants.policy import TenantName
 
@@ -33,21 +33,21 @@
 
     token: int
     number: int
-    amount: Needs
+    amount: ResourceVector
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """A shard's holder asks to have so much of a tenant running, instead of what it has.
 
-    ``kept`` is what it goes on using until the answer, and is not lent to another meanwhile.
+    ``retained`` is what it goes on using until the answer, and is not lent to another meanwhile.
     """
 
     tenant: TenantName
     shard: ShardId
     token: int
     number: int
-    amount: Needs
-    kept: Needs = Needs()
+    amount: ResourceVector
+    retained: ResourceVector = ResourceVector()
 
 
 @dataclass(slots=True)
@@ -56,8 +56,8 @@
 
     since: float
     asked_at: float
-    wanted: Needs
-    used: Needs
+    wanted: ResourceVector
+    used: ResourceVector
 
 
 @dataclass(slots=True)
@@ -65,14 +65,16 @@
     loans: dict[ShardId, Loan] = field(default_factory=dict)
     waiting: dict[ShardId, _Waiting] = field(default_factory=dict)
 
-    def lent(self, but: ShardId | None = None) -> Needs:
-        total = Needs()
+    def lent(self, but: ShardId | None = None) -> ResourceVector:
+        total = ResourceVector()
         for shard, loan in self.loans.items():
             if shard != but:
-                total = plus(total, loan.amount)
+                total = add_vectors(total, loan.amount)
         return total
 
-    def note_waiting(self, shard: ShardId, wanted: Needs, used: Needs, now: float) -> None:
+    def note_waiting(
+        self, shard: ShardId, wanted: ResourceVector, used: ResourceVector, now: float
+    ) -> None:
         """A shard wants more than it may have; one that has started something waits anew."""
         waiting = self.waiting.get(shard)
         if waiting is None:
@@ -82,17 +84,17 @@
             waiting.since = now
         waiting.asked_at, waiting.wanted, waiting.used = now, wanted, used
 
-    def kept_for_older(self, shard: ShardId) -> Needs:
+    def kept_for_older(self, shard: ShardId) -> ResourceVector:
         """Return what is missing to the shards that have waited for longer than one."""
         own = self.waiting.get(shard)
-        kept = Needs()
+        retained = ResourceVector()
         for other, waiting in self.waiting.items():
             if other == shard or (own is not None and own.since <= waiting.since):
                 continue
             loan = self.loans.get(other)
             had = loan.amount if loan is not None else waiting.used
-            kept = plus(kept, Needs(*map(_missing, waiting.wanted, had)))
-        return kept
+            retained = add_vectors(retained, ResourceVector(*map(_missing, waiting.wanted, had)))
+        return retained
 
     def forget_gone(self, now: float) -> None:
         """Forget shards that ask no more."""
@@ -101,7 +103,7 @@
                 del self.waiting[shard]
 
 
-class QuotaBank:
+class QuotaLender:
     """What a shard has lent of the quotas whose home it is.
 
     What is free goes to who has waited for longest, until that one has all that it wants: else each
@@ -115,35 +117,39 @@
         #: Tenants whose loans are to be recorded anew.
         self.dirty: dict[TenantName, None] = {}
 
-    def lent(self, tenant: TenantName) -> Needs:
+    def lent(self, tenant: TenantName) -> ResourceVector:
         """Return what is lent of a tenant's quota."""
         account = self._accounts.get(tenant)
-        return Needs() if account is None else account.lent()
+        return ResourceVector() if account is None else account.lent()
 
-    def kept_back(self, tenant: TenantName) -> Needs:
+    def reserved_for_other_shards(self, tenant: TenantName) -> ResourceVector:
         """Return what the home shard leaves to others that have waited for longer."""
         account = self._accounts.get(tenant)
-        return Needs() if account is None else account.kept_for_older(self._home)
+        return ResourceVector() if account is None else account.kept_for_older(self._home)
 
-    def note_home(self, tenant: TenantName, wanted: Needs, used: Needs, now: float) -> None:
+    def update_home_demand(
+        self, tenant: TenantName, wanted: ResourceVector, used: ResourceVector, now: float
+    ) -> None:
         """Take note of what the home shard itself wants of a quota, beside what it has running."""
         account = self._accounts.get(tenant)
         if account is None:
             return
         account.forget_gone(now)
         if any(wanted):
-            account.note_waiting(self._home, plus(used, wanted), used, now)
+            account.note_waiting(self._home, add_vectors(used, wanted), used, now)
         else:
             account.waiting.pop(self._home, None)
 
-    def request(self, request: QuotaRequest, quota: Needs, used: Needs, now: float) -> Needs:
+    def request(
+        self, request: QuotaRequest, quota: ResourceVector, used: ResourceVector, now: float
+    ) -> ResourceVector:
         """Return what the shard that asks may have running, once that is on record.
 
         Parameters
         ----------
-        quota : Needs
+        quota : ResourceVector
             The tenant's quota; an amount of 0 sets no limit.
-        used : Needs
+        used : ResourceVector
             What the home shard may have running of it.
         """
         account = self._accounts.setdefault(request.tenant, _Account())
@@ -151,33 +157,38 @@
         place = (request.token, request.number)
         if former is not None and place <= (former.token, former.number):
             # A repeat gets its answer again; one that was overtaken is not waited for any more.
-            return former.amount if place == (former.token, former.number) else Needs()
+            return former.amount if place == (former.token, former.number) else ResourceVector()
         if former is None and not any(request.amount):
-            return Needs()
+            return ResourceVector()
         granted = self._grant(account, request, quota, used, now)
         account.loans[request.shard] = Loan(request.token, request.number, granted)
         self.dirty[request.tenant] = None
         return granted
 
     def _grant(
-        self, account: _Account, request: QuotaRequest, quota: Needs, used: Needs, now: float
-    ) -> Needs:
+        self,
+        account: _Account,
+        request: QuotaRequest,
+        quota: ResourceVector,
+        used: ResourceVector,
+        now: float,
+    ) -> ResourceVector:
         """Return as much of what is asked for as there is, and as no other waits for longer."""
         account.forget_gone(now)
-        free = minus(minus(quota, used), account.lent(but=request.shard))
-        free = minus(free, account.kept_for_older(request.shard))
-        granted = Needs(
+        free = subtract_vectors(subtract_vectors(quota, used), account.lent(but=request.shard))
+        free = subtract_vectors(free, account.kept_for_older(request.shard))
+        granted = ResourceVector(
             *(
-                wanted if not most else max(kept, min(wanted, left))
-                for wanted, most, left, kept in zip(
-                    request.amount, quota, free, request.kept, strict=True
+                wanted if not most else max(retained, min(wanted, left))
+                for wanted, most, left, retained in zip(
+                    request.amount, quota, free, request.retained, strict=True
                 )
             )
         )
         if granted == request.amount:
             account.waiting.pop(request.shard, None)
         else:
-            account.note_waiting(request.shard, request.amount, request.kept, now)
+            account.note_waiting(request.shard, request.amount, request.retained, now)
         return granted
 
     # Records
--- a/src/onyxspoke/core/tenants/shares.py
+++ b/src/onyxspoke/core/tenants/share_meter.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self._buckets: dict[TenantName, _Bucket] = {}
 
-    def take(self, policy: TenantPolicy | None, shards: int, now: float) -> bool:
+    def consume(self, policy: TenantPolicy | None, shards: int, now: float) -> bool:
         """Return whether a job that is handed in now is owed to its tenant.
 
         Parameters
@@ -56,12 +56,12 @@
         bucket.owed += 1
         return True
 
-    def owed_count(self, name: TenantName) -> int:
+    def entitled_count(self, name: TenantName) -> int:
         """Return how many jobs of a tenant were owed to it."""
         bucket = self._buckets.get(name)
         return 0 if bucket is None else bucket.owed
 
-    def beyond_count(self, name: TenantName) -> int:
+    def over_share_count(self, name: TenantName) -> int:
         """Return how many jobs a tenant handed in beyond its weight."""
         bucket = self._buckets.get(name)
         return 0 if bucket is None else bucket.beyond
--- a/src/onyxspoke/entry/caller_api.py
+++ b/src/onyxspoke/entry/caller_api.py
@@ -17,7 +17,7 @@
     http_status,
 )
 from onyxspoke.core.schema import Answer, JobId, JobSubmission, TaskClass, TaskRequest
-from onyxspoke.core.settings_in_force import admits, resolve_task_class
+from onyxspoke.core.settings_in_force import admits_new_work, resolve_task_class
 from onyxspoke.entry.catalog import Catalog
 from onyxspoke.entry.shell import EntryShell
 from onyxspoke.entry.telemetry import Telemetry
@@ -108,7 +108,7 @@
         declared = self.catalog.task_class(body.service, body.task_class)
         context = self.shell.scheduler.context
         task_class = resolve_task_class(context, declared)
-        if not admits(context, task_class):
+        if not admits_new_work(context, task_class):
             raise RequestRefusedError(ResultCode.QUOTA_EXCEEDED, "the service admits no new work")
         task = TaskRequest(
             tenant=body.tenant,
--- a/src/onyxspoke/entry/operator_api.py
+++ b/src/onyxspoke/entry/operator_api.py
@@ -115,7 +115,7 @@
         context = self._shell.scheduler.context
         now = self._clock.now()
         members = [
-            MemberBody(member.entry_id, member.zone, member.stopping, now - member.seen_at)
+            MemberBody(member.entry_id, member.zone, member.stopping, now - member.last_seen_at)
             for member in context.cell.members.values()
         ]
         body = StatusBody(
@@ -159,7 +159,7 @@
         context = self._shell.scheduler.context
         bodies = []
         for machine in context.machines.values():
-            holding = context.cell.holding_of(machine.worker_id)
+            holding = context.cell.ownership_of(machine.worker_id)
             owned = context.workers.workers.get(machine.worker_id)
             bodies.append(
                 WorkerBody(
--- a/src/onyxspoke/entry/settings_api.py
+++ b/src/onyxspoke/entry/settings_api.py
@@ -8,7 +8,7 @@
 from onyxspoke.core.codes import OnyxspokeError, ResultCode, http_status
 from onyxspoke.core.log_records import SettingChange, SettingsApply
 from onyxspoke.core.schema import EntryId, Offset
-from onyxspoke.core.settings_tree import SettingScalar, SettingsVerdict, find_fault
+from onyxspoke.core.settings_tree import SettingScalar, SettingsVerdict, find_schema_violation
 from onyxspoke.entry.shell import EntryShell
 from onyxspoke.histograms import make_histogram, percentile_ms, record_seconds
 from onyxspoke.net.http import CodedResource, read_json, read_query, write_error, write_json
@@ -137,7 +137,7 @@
             if expected is None:
                 expected = tree.revision_of(item.path, item.key)
             change = SettingChange(item.path, item.key, item.value, expected)
-            fault = find_fault(change)
+            fault = find_schema_violation(change)
             if fault:
                 raise OnyxspokeError(ResultCode.SETTING_INVALID, fault)
             changes.append(change)
@@ -179,8 +179,8 @@
     def handle_get(self, request: Request) -> None:
         """Describe the spread."""
         scheduler = self._shell.scheduler
-        watch, revision = scheduler.settings_watch, scheduler.context.settings.revision
-        lagging = set(watch.laggards(self._clock.now()))
+        watch, revision = scheduler.settings_propagation, scheduler.context.settings.revision
+        lagging = set(watch.lagging_peers(self._clock.now()))
         entries = [EntryRevisionBody(self._shell.entry_id, revision, lags=False)]
         entries += [
             EntryRevisionBody(peer_id, peer_revision, peer_id in lagging)
--- a/src/onyxspoke/entry/shell.py
+++ b/src/onyxspoke/entry/shell.py
@@ -108,7 +108,7 @@
         """Forget a caller that went away."""
         if self._callers.pop(request_id, None) is not None:
             now = self._clock.now()
-            self.carry_out(self.scheduler.on_hang_up(request_id, now))
+            self.carry_out(self.scheduler.on_caller_disconnected(request_id, now))
 
     def cancel_job(self, job_id: JobId) -> None:
         """Give up a job."""
--- a/src/onyxspoke/kit/jobs/audit.py
+++ b/src/onyxspoke/kit/jobs/audit.py
@@ -6,8 +6,16 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from onyxspoke.core.jobs.amounts import minus, plus
-from onyxspoke.core.jobs.model import JobId, JobSpec, Needs, RunKey, StepKey, TaskKey, WorkerId
+from onyxspoke.core.jobs.model import (
+    JobId,
+    JobSpec,
+    ResourceVector,
+    RunKey,
+    StepKey,
+    TaskKey,
+    WorkerId,
+)
+from onyxspoke.core.jobs.resource_vectors import add_vectors, subtract_vectors
 from onyxspoke.core.jobs.states import RunEnd
 from onyxspoke.core.shard.calls import CallReply, ReplyCode
 from onyxspoke.core.tenants.policy import TenantName
@@ -99,13 +107,13 @@
         self.findings: list[Finding] = []
         self.jobs: dict[JobId, _JobFacts] = {}
         self.tasks: dict[TaskKey, TaskFacts] = {}
-        self._taken: dict[WorkerId, dict[RunKey, Needs]] = {}
+        self._taken: dict[WorkerId, dict[RunKey, ResourceVector]] = {}
         #: Former rooms of workers that have changed them, and when.
-        self._former_rooms: dict[WorkerId, list[tuple[float, Needs]]] = {}
+        self._former_rooms: dict[WorkerId, list[tuple[float, ResourceVector]]] = {}
         self._done_in_step: Counter[StepKey] = Counter()
         #: The highest quota of each tenant among the configurations that may be in force.
-        self.quotas: dict[TenantName, Needs] = {}
-        self._running_of: dict[TenantName, Needs] = {}
+        self.quotas: dict[TenantName, ResourceVector] = {}
+        self._running_of: dict[TenantName, ResourceVector] = {}
         self.counts: Counter[str] = Counter()
         self.checks = 0
 
@@ -180,7 +188,9 @@
         facts = self.jobs.get(run.task.job_id)
         if needs is not None and facts is not None:
             tenant = facts.spec.tenant
-            self._running_of[tenant] = minus(self._running_of.get(tenant, Needs()), needs)
+            self._running_of[tenant] = subtract_vectors(
+                self._running_of.get(tenant, ResourceVector()), needs
+            )
         task = self._task(run.task)
         task.running.pop((worker.worker_id, run), None)
         if end is RunEnd.DONE:
@@ -209,7 +219,7 @@
         self.counts["crashes"] += 1
         self._task(run.task).crashes += 1
 
-    def handle_resized(self, worker: SeenWorker, former: Needs) -> None:
+    def handle_resized(self, worker: SeenWorker, former: ResourceVector) -> None:
         """The worker has said that its room is another one now."""
         until = self._timers.now() + ROOM_SECONDS
         self._former_rooms.setdefault(worker.worker_id, []).append((until, former))
@@ -233,20 +243,24 @@
                 self.note(Violation.OVER_CAPACITY, f"{run} on {worker.worker_id} by {node}")
                 return
 
-    def _room_of(self, worker: SeenWorker) -> Needs:
+    def _room_of(self, worker: SeenWorker) -> ResourceVector:
         """Return the most room that a worker has had of late."""
         room = worker.record.capacity
         for until, former in self._former_rooms.get(worker.worker_id, []):
             if self._timers.now() <= until:
-                room = Needs(*map(max, room, former))
+                room = ResourceVector(*map(max, room, former))
         return room
 
     def _check_quota(self, run: RunKey, facts: _JobFacts, node: str) -> None:
         """No start brings a tenant over its quota, a tenth more, and one task more."""
         tenant = facts.spec.tenant
         needs = facts.spec.steps[run.task.step].needs
-        self._running_of[tenant] = running = plus(self._running_of.get(tenant, Needs()), needs)
-        for amount, most, one in zip(running, self.quotas.get(tenant, Needs()), needs, strict=True):
+        self._running_of[tenant] = running = add_vectors(
+            self._running_of.get(tenant, ResourceVector()), needs
+        )
+        for amount, most, one in zip(
+            running, self.quotas.get(tenant, ResourceVector()), needs, strict=True
+        ):
             if most and amount > most * QUOTA_OVERAGE + one:
                 self.note(Violation.QUOTA, f"{run} of {tenant} by {node}: {running}")
                 return
--- a/src/onyxspoke/kit/jobs/workers.py
+++ b/src/onyxspoke/kit/jobs/workers.py
@@ -169,13 +169,13 @@
                 member.begin(member_key)
         else:
             self.timers.schedule(
-                self.gang_wait_seconds, lambda: worker.end_if_idle(key, RunEnd.ALONE)
+                self.gang_wait_seconds, lambda: worker.end_if_idle(key, RunEnd.GANG_INCOMPLETE)
             )
 
     def leave_gang(self, key: RunKey, end: RunEnd) -> None:
         """A member ended; the others end with it."""
         members = self._gangs.pop((key.task.step_key, key.number), {})
-        others = RunEnd.DONE if end is RunEnd.DONE else RunEnd.BROKEN
+        others = RunEnd.DONE if end is RunEnd.DONE else RunEnd.GANG_BROKEN
         for index, (worker, member_key) in members.items():
             if index != key.task.task_index:
                 worker.end(member_key, others)
@@ -372,7 +372,7 @@
             return
         self._pool.audit.handle_lapsed(self)
         for key in list(self.runs):
-            self.end(key, RunEnd.LAPSED)
+            self.end(key, RunEnd.LEASE_EXPIRED)
 
     def _wait(self, seconds: float, on_result: Callable[[HoldResult], None]) -> None:
         is_answered = False
--- a/src/onyxspoke/node/key_gate.py
+++ b/src/onyxspoke/node/key_gate.py
@@ -12,7 +12,7 @@
 import msgspec
 from absl import logging
 
-from onyxspoke.core.tenants.keys import Credential, KeyVerdict, judge_key
+from onyxspoke.core.tenants.keys import Credential, KeyVerdict, check_key
 from onyxspoke.core.tenants.policy import TenantName
 from onyxspoke.node.configuration_keeper import ConfigurationKeeper
 from onyxspoke.node.metrics import NodeMetrics
@@ -76,20 +76,20 @@
     def admit(self, credential: Credential, queue: str, on_verdict: OnVerdict) -> None:
         """Tell whose a key is, at once or after a look at the newest configuration."""
         waiting = _Waiting(credential, queue, on_verdict)
-        verdict = self._judge(credential, was_looked_at=False)
-        if verdict is not KeyVerdict.LOOK_FIRST:
+        verdict = self._judge(credential, was_configuration_refreshed=False)
+        if verdict is not KeyVerdict.CONFIGURATION_REFRESH_NEEDED:
             self._tell(waiting, verdict)
         elif len(self._waiting) >= MAXIMUM_WAITING:
-            self._tell(waiting, KeyVerdict.UNPROVEN)
+            self._tell(waiting, KeyVerdict.CONFIGURATION_STALE)
         else:
             self._waiting.append(waiting)
             self._look_if_due()
 
-    def _judge(self, credential: Credential, was_looked_at: bool) -> KeyVerdict:
+    def _judge(self, credential: Credential, was_configuration_refreshed: bool) -> KeyVerdict:
         configurations = self._configurations
         keys = configurations.keys
         age = self._clock.now() - configurations.proven_at
-        return judge_key(credential, keys, age, self._trusted_seconds, was_looked_at)
+        return check_key(credential, keys, age, self._trusted_seconds, was_configuration_refreshed)
 
     def _look_if_due(self) -> None:
         if self._is_looking or not self._waiting:
@@ -110,9 +110,9 @@
             self._is_looking = False
             self._asking_count = 0
             for waiting in asking:
-                verdict = KeyVerdict.UNPROVEN
+                verdict = KeyVerdict.CONFIGURATION_STALE
                 if is_done:
-                    verdict = self._judge(waiting.credential, was_looked_at=True)
+                    verdict = self._judge(waiting.credential, was_configuration_refreshed=True)
                 self._tell(waiting, verdict)
             self._look_if_due()
 
--- a/src/onyxspoke/platform/configuration.py
+++ b/src/onyxspoke/platform/configuration.py
@@ -8,7 +8,7 @@
 from absl import logging
 from twisted.internet.interfaces import IReactorTime
 
-from onyxspoke.core.jobs.model import AdvicePolicy, Needs, QueuePolicy
+from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy, ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet, ServicePolicy
 from onyxspoke.core.routing import RouteEntry
 from onyxspoke.core.shard.log_records import ShardRecord
@@ -173,7 +173,7 @@
 
 def _to_tenant(tenant: _TenantEntry) -> TenantPolicy:
     most = tenant.max_count
-    quota = Needs(most.processors_milli, most.memory_mb, most.gpu)
+    quota = ResourceVector(most.processors_milli, most.memory_mb, most.gpu)
     return TenantPolicy(name=tenant.name, weight=tenant.weight, quota=quota)
 
 
@@ -193,5 +193,5 @@
 
 def _to_service(service: _ServiceEntry) -> ServicePolicy:
     return ServicePolicy(
-        name=service.name, checks_room=service.admission_check, is_spare=service.spare
+        name=service.name, checks_capacity=service.admission_check, is_spare=service.spare
     )
--- a/src/onyxspoke/platform/directory.py
+++ b/src/onyxspoke/platform/directory.py
@@ -9,7 +9,7 @@
 from twisted.internet.interfaces import IReactorTime
 
 from onyxspoke.core.codes import ResultCode
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 from onyxspoke.core.placement.worker_record import (
     EntryFault,
     UnusableEntry,
@@ -143,7 +143,7 @@
         port=int(address["port"]),
         service=entry.service,
         zone=entry.zone,
-        capacity=Needs(capacity.processors_milli, capacity.memory_mb, capacity.gpu),
+        capacity=ResourceVector(capacity.processors_milli, capacity.memory_mb, capacity.gpu),
         kind=next((label for label in entry.labels if not _is_rack(label)), ""),
         rack=next((label for label in entry.labels if _is_rack(label)), ""),
         labels=tuple(entry.labels),
--- a/src/onyxspoke/platform/ingress.py
+++ b/src/onyxspoke/platform/ingress.py
@@ -42,7 +42,7 @@
 _KEY_CODES = {
     KeyVerdict.MISSING: ResultCode.MISSING_KEY,
     KeyVerdict.UNKNOWN: ResultCode.UNKNOWN_KEY,
-    KeyVerdict.UNPROVEN: ResultCode.KEYS_UNPROVEN,
+    KeyVerdict.CONFIGURATION_STALE: ResultCode.KEYS_UNPROVEN,
 }
 #: An answer is sent so long before the caller's time is over.
 DEADLINE_SLACK_SECONDS = 0.1
@@ -192,7 +192,7 @@
         """Answer that the caller's key does not admit it."""
         if self._is_gone:
             return
-        if verdict is KeyVerdict.UNPROVEN:
+        if verdict is KeyVerdict.CONFIGURATION_STALE:
             set_retry_after(self._request, UNPROVEN_RETRY_SECONDS)
         write_error(self._request, OnyxspokeError(_KEY_CODES[verdict]))
 
--- a/src/onyxspoke/sim/explore_jobs.py
+++ b/src/onyxspoke/sim/explore_jobs.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.shard.load_options import LoadOptions
 from onyxspoke.core.tenants.policy import TenantPolicy
 from onyxspoke.kit.jobs.audit import Finding
@@ -91,7 +91,7 @@
     They are no larger in a cell of several shards: an equal part for each would be too small.
     """
     return tuple(
-        TenantPolicy(name=name, weight=weight, quota=Needs(processors, 48_000, 0))
+        TenantPolicy(name=name, weight=weight, quota=ResourceVector(processors, 48_000, 0))
         for name, weight, processors in (
             ("large", 3.0, 60_000),
             ("middle", 2.0, 40_000),
--- a/src/onyxspoke/sim/job_cluster.py
+++ b/src/onyxspoke/sim/job_cluster.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from onyxspoke.core.jobs.model import AdvicePolicy, Needs, QueuePolicy
+from onyxspoke.core.jobs.model import AdvicePolicy, QueuePolicy, ResourceVector
 from onyxspoke.core.jobs.policy import PolicySet, ServicePolicy
 from onyxspoke.core.placement.worker_record import WorkerListing, WorkerRecord
 from onyxspoke.core.shard.calls import Call, CallReply
@@ -46,7 +46,7 @@
 #: A configuration is in force everywhere after so long, longer where the store is disturbed.
 APPLY_SECONDS = 12.0
 LARGE_WEIGHT = 4.0
-WORKER_CAPACITY = Needs(16_000, 32_768, 0)
+WORKER_CAPACITY = ResourceVector(16_000, 32_768, 0)
 #: Workers on which every step may run, so that none waits for good.
 ALWAYS_GOOD = ("w0.", "w1.", "w2.", "w3.")
 #: A worker that a task crashed is back, as another life, after so long.
@@ -224,7 +224,9 @@
         """
         former = self.configuration.configuration
         tenants = tuple(
-            replace(tenant, quota=Needs(*(int(amount * factor) for amount in tenant.quota)))
+            replace(
+                tenant, quota=ResourceVector(*(int(amount * factor) for amount in tenant.quota))
+            )
             for tenant in self.options.tenants
         )
         version = former.version + 1
@@ -232,10 +234,10 @@
         now = {tenant.name: tenant.quota for tenant in tenants}
         for name, quota in now.items():
             before = self.audit.quotas[name]
-            self.audit.quotas[name] = Needs(*map(max, quota, before))
+            self.audit.quotas[name] = ResourceVector(*map(max, quota, before))
         self.time.schedule(APPLY_SECONDS, partial(self._forget_quotas, version, now))
 
-    def _forget_quotas(self, version: int, now: dict[TenantName, Needs]) -> None:
+    def _forget_quotas(self, version: int, now: dict[TenantName, ResourceVector]) -> None:
         """Go by a version alone, unless there is a later one by now."""
         if self.configuration.configuration.version == version:
             self.audit.quotas = now
@@ -296,7 +298,7 @@
         if self.pool.workers[worker.worker_id] is worker:
             self.directory.drop(worker.worker_id)
 
-    def resize_worker(self, worker_id: str, capacity: Needs) -> None:
+    def resize_worker(self, worker_id: str, capacity: ResourceVector) -> None:
         """Change a worker's room; the directory tells it."""
         worker = self.pool.workers[worker_id]
         former = worker.record.capacity
--- a/src/onyxspoke/sim/job_faults.py
+++ b/src/onyxspoke/sim/job_faults.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from functools import partial
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.worker_record import EntryFault
 from onyxspoke.sim.job_cluster import JobCluster, SimulatedNode, worker_index
 from onyxspoke.sim.restart_faults import RestartFaults
@@ -326,10 +326,12 @@
         for worker_id in self._choose_workers(0.4):
             former = self._cluster.pool.workers[worker_id].record.capacity
             share = self._random.choice(ROOM_SHARES)
-            self._cluster.resize_worker(worker_id, Needs(*(int(share * item) for item in former)))
+            self._cluster.resize_worker(
+                worker_id, ResourceVector(*(int(share * item) for item in former))
+            )
             self._later(seconds, partial(self._restore_room, worker_id, former))
 
-    def _restore_room(self, worker_id: str, former: Needs) -> None:
+    def _restore_room(self, worker_id: str, former: ResourceVector) -> None:
         if self._cluster.pool.workers[worker_id].is_up:
             self._cluster.resize_worker(worker_id, former)
 
--- a/src/onyxspoke/sim/liveness.py
+++ b/src/onyxspoke/sim/liveness.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from onyxspoke.core.jobs.amounts import minus, plus
-from onyxspoke.core.jobs.model import JobId, JobSpec, Needs, StepKey, StepSpec, TaskKey
+from onyxspoke.core.jobs.model import JobId, JobSpec, ResourceVector, StepKey, StepSpec, TaskKey
+from onyxspoke.core.jobs.resource_vectors import add_vectors, subtract_vectors
 from onyxspoke.core.placement.worker_record import WorkerListing
 from onyxspoke.kit.jobs.audit import CRASHES_TO_GIVE_UP, JobAudit, TaskFacts, Violation
 from onyxspoke.kit.jobs.workers import FakeWorker
@@ -115,7 +115,9 @@
                 key, worker.worker_id
             ):
                 continue
-            places += _times(step.needs, minus(worker.record.capacity, self._taken(worker)))
+            places += _times(
+                step.needs, subtract_vectors(worker.record.capacity, self._taken(worker))
+            )
         return places >= wanted
 
     def _is_sound(self, worker: FakeWorker) -> bool:
@@ -136,11 +138,11 @@
         taken = sum(self._taken(worker).processors_milli for worker in workers)
         return taken > TAKEN_SHARE * room
 
-    def _taken(self, worker: FakeWorker) -> Needs:
-        taken = Needs()
+    def _taken(self, worker: FakeWorker) -> ResourceVector:
+        taken = ResourceVector()
         for run in worker.runs:
             spec = self._cluster.pool.specs[run.task.job_id]
-            taken = plus(taken, spec.steps[run.task.step].needs)
+            taken = add_vectors(taken, spec.steps[run.task.step].needs)
         return taken
 
 
@@ -157,6 +159,6 @@
     return len(failed) >= spec.queue.max_attempts
 
 
-def _times(needs: Needs, room: Needs) -> int:
+def _times(needs: ResourceVector, room: ResourceVector) -> int:
     """Return how often an amount fits into a room."""
     return min((left // need for need, left in zip(needs, room, strict=True) if need), default=0)
--- a/src/onyxspoke/soak/worker_server.py
+++ b/src/onyxspoke/soak/worker_server.py
@@ -10,7 +10,7 @@
 from absl import logging
 from twisted.internet.interfaces import IListeningPort
 
-from onyxspoke.core.jobs.model import Needs, RunKey
+from onyxspoke.core.jobs.model import ResourceVector, RunKey
 from onyxspoke.core.jobs.states import RunEnd
 from onyxspoke.core.placement.worker_record import WorkerRecord
 from onyxspoke.core.shard.actions import SendHold, SendPace, SendStart, SendStop, WorkerAddress
@@ -39,7 +39,7 @@
 SERVICE = "service"
 #: The platform drops the entry of a worker that is silent for so long, in seconds.
 ENTRY_SECONDS = 3 * HEARTBEAT_MS / 1_000.0
-CAPACITY = Needs(16_000, 32_768, 0)
+CAPACITY = ResourceVector(16_000, 32_768, 0)
 KINDS = "ab"
 RACK_SIZE = 4
 #: Share of the runs that fail by their own fault.
