--- a/features/account.feature
+++ b/features/account.feature
@@ -1,6 +1,6 @@
-Feature: Logs tell where the time of jobs went
+Feature: Job reports from logs show how jobs spent their time
 
-  Scenario: A job that waited for advice, for room and for a new holder
+  Scenario: A job waits for advice, for free capacity and for a new holder
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=scans steps=1 tasks=1 stretch=2.0 target_ms=1000 policy=5
@@ -13,13 +13,13 @@
       time=2026-12-02T12:00:07.820Z level=info process=b event=run_ended shard=0 worker=w task=00000000000000e1.0.0.0 run=4096 state=running how=done number=7
       time=2026-12-02T12:00:07.840Z level=info process=b event=job_ended shard=0 job=00000000000000e1 state=completed seconds=7.8
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And its seconds are
+    And the seconds by phase are
       | record | advice | room | takeover | lost_runs | work | shown |
       | 0.02   | 0.80   | 3.00 | 2.00     | 0.00      | 2.00 | 0.02  |
 
-  Scenario: A run that failed, and a step that waited for another one
+  Scenario: A run fails, and a step waits for another step
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms steps=2 tasks=2 stretch=3.0 target_ms=1000 policy=5
@@ -32,25 +32,25 @@
       time=2026-12-02T12:00:02.300Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e1.0.1.0 run=3 state=running how=done number=3
       time=2026-12-02T12:00:02.300Z level=info process=a event=job_ended shard=0 job=00000000000000e1 state=completed seconds=2.3
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "met"
-    And its seconds are
+    And the seconds by phase are
       | record | advice | room | takeover | attempts | lost_runs | work | shown |
       | 0.10   | 0.00   | 0.20 | 0.00     | 0.50     | 0.00      | 1.50 | 0.00  |
 
-  Scenario: Jobs that were refused, that never ended, and a line that breaks off
+  Scenario: The logs contain a refused job, an unfinished job and a truncated line
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_refused shard=0 job=00000000000000e1 reason=store_in_trouble
       time=2026-12-02T12:00:01.000Z level=info process=a event=job_taken shard=0 job=00000000000000e2 queue=forms steps=2 tasks=2 stretch=3.0 target_ms=1000 policy=5
       time=2026-12-02T12:00:02.000Z level=info process=a event=run_start shard=0 task=00000000000000e2.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "refused"
     And job "00000000000000e2" was "open"
-    And 1 line broke off
+    And 1 line was truncated
 
-  Scenario: The account of a log as a table
+  Scenario: The account command prints the reports as tables
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms steps=1 tasks=1 stretch=1.0 target_ms=1000 policy=5
@@ -59,10 +59,10 @@
       time=2026-12-02T12:00:05.000Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e1.0.0.0 run=1 state=running how=done number=1
       time=2026-12-02T12:00:05.000Z level=info process=a event=job_ended shard=0 job=00000000000000e1 state=completed seconds=5.0
       """
-    When an operator asks for their account
-    Then the answer names "forms", "00000000000000e1" and "record=1"
+    When an operator runs the account command on the logs
+    Then the command succeeds and prints "forms", "00000000000000e1" and "record=1"
 
-  Scenario: A job that waited for its tenant's quota, and one that was beyond its tenant's weight
+  Scenario: One job waits for its tenant's quota, and another job's tenant is over its share
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms tenant=one beyond_share=0 steps=1 tasks=1 stretch=1.0 target_ms=1000 policy=5
@@ -76,19 +76,19 @@
       time=2026-12-02T12:00:07.000Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e2.0.0.0 run=1 state=running how=done number=2
       time=2026-12-02T12:00:07.000Z level=info process=a event=job_ended shard=0 job=00000000000000e2 state=completed seconds=7.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And its seconds are
+    And the seconds by phase are
       | quota | room | work |
       | 3.00  | 1.00 | 1.00 |
     Then job "00000000000000e2" was "late"
-    And its seconds are
+    And the seconds by phase are
       | share | work |
       | 6.00  | 1.00 |
-    When an operator asks for their account
-    Then the answer names "tenant", "two" and "quota=1"
+    When an operator runs the account command on the logs
+    Then the command succeeds and prints "tenant", "two" and "quota=1"
 
-  Scenario: A run that took far longer than its step's others, which moves no objective
+  Scenario: A run far slower than the other runs of its step does not raise the objective
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms tenant=one beyond_share=0 steps=1 tasks=3 stretch=2.0 target_ms=1000 policy=5
@@ -101,17 +101,17 @@
       time=2026-12-02T12:00:07.020Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e1.0.0.2 run=1 state=running how=done number=1
       time=2026-12-02T12:00:07.040Z level=info process=a event=job_ended shard=0 job=00000000000000e1 state=completed seconds=1.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And its objective was 3.20 s
-    And what cost it most beyond what it should have was "work", by 5.95 s
-    And its seconds are
+    And the objective of the job was 3.20 s
+    And the phase that exceeded its expected time most was "work", by 5.95 s
+    And the seconds by phase are
       | record | room | work | shown |
       | 0.02   | 0.00 | 7.00 | 0.02  |
-    When an operator asks for their account
-    Then the answer names "work=1", "1/6.0" and "forms"
+    When an operator runs the account command on the logs
+    Then the command succeeds and prints "work=1", "1/6.0" and "forms"
 
-  Scenario: A run without others beside it is measured by its caller's estimate and the call for advice
+  Scenario: The objective of a single run follows from the caller's estimate and the advice call
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms tenant=one beyond_share=0 steps=1 tasks=1 estimated_ms=1000 stretch=2.0 target_ms=1000 advice_ms=500 policy=5
@@ -121,12 +121,12 @@
       time=2026-12-02T12:00:06.620Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e1.0.0.0 run=1 state=running how=done number=1
       time=2026-12-02T12:00:06.620Z level=info process=a event=job_ended shard=0 job=00000000000000e1 state=completed seconds=1.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And its objective was 4.00 s
-    And what cost it most beyond what it should have was "work", by 5.00 s
+    And the objective of the job was 4.00 s
+    And the phase that exceeded its expected time most was "work", by 5.00 s
 
-  Scenario: A run on a worker where all takes long
+  Scenario: A slow worker does not raise the objective of its jobs
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000a0 queue=forms tenant=one beyond_share=0 steps=1 tasks=3 stretch=2.0 target_ms=1000 policy=5
@@ -180,12 +180,12 @@
       time=2026-12-02T12:00:20.000Z level=info process=a event=run_ended shard=0 worker=w2 task=00000000000000e1.0.0.0 run=1 state=running how=done number=1
       time=2026-12-02T12:00:20.000Z level=info process=a event=job_ended shard=0 job=00000000000000e1 state=completed seconds=1.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And its objective was 7.00 s
-    And what cost it most beyond what it should have was "work", by 7.00 s
+    And the objective of the job was 7.00 s
+    And the phase that exceeded its expected time most was "work", by 7.00 s
 
-  Scenario: Failed attempts at a worker where others fail, too, and a run lost with its worker
+  Scenario: Attempts fail on a worker where other jobs fail too, and a run is lost with its worker
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms tenant=one beyond_share=0 steps=1 tasks=1 stretch=1.0 target_ms=1000 policy=5
@@ -209,17 +209,17 @@
       time=2026-12-02T12:00:15.000Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e2.0.0.0 run=2 state=running how=done number=2
       time=2026-12-02T12:00:15.000Z level=info process=a event=job_ended shard=0 job=00000000000000e2 state=completed seconds=1.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And its objective was 4.50 s
-    And what cost it most beyond what it should have was "attempts", by 2.00 s
-    And its seconds are
+    And the objective of the job was 4.50 s
+    And the phase that exceeded its expected time most was "attempts", by 2.00 s
+    And the seconds by phase are
       | attempts | work |
       | 4.50     | 1.00 |
     Then job "00000000000000e2" was "late"
-    And what cost it most beyond what it should have was "lost_runs", by 3.00 s
+    And the phase that exceeded its expected time most was "lost_runs", by 3.00 s
 
-  Scenario: Callers that were refused and came back
+  Scenario: Callers submit again after a refusal
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_refused shard=0 job=00000000000000e1 reason=store_in_trouble
@@ -238,20 +238,20 @@
       time=2026-12-02T12:00:13.100Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e2.0.0.0 run=1 state=running how=done number=1
       time=2026-12-02T12:00:13.100Z level=info process=a event=job_ended shard=0 job=00000000000000e2 state=completed seconds=1.0
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "late"
-    And it was refused 2 times
-    And what cost it most beyond what it should have was "returned", by 3.00 s
-    And its seconds are
+    And the job was refused 2 times
+    And the phase that exceeded its expected time most was "returned", by 3.00 s
+    And the seconds by phase are
       | returned | record | work |
       | 3.00     | 0.10   | 1.00 |
     Then job "00000000000000e2" was "late"
-    And it was refused 1 times
-    And its seconds are
+    And the job was refused 1 times
+    And the seconds by phase are
       | returned | record | work |
       | 2.00     | 0.10   | 1.00 |
 
-  Scenario: Jobs whose lines were cut off, beside jobs that are open
+  Scenario: Jobs with missing log lines are distinguished from unfinished jobs
     Given the logs of several nodes
       """
       time=2026-12-02T12:00:00.000Z level=info process=a event=job_taken shard=0 job=00000000000000e1 queue=forms tenant=one beyond_share=0 steps=1 tasks=1 stretch=2.0 target_ms=1000 policy=5
@@ -278,7 +278,7 @@
       time=2026-12-02T12:00:12.000Z level=info process=a event=run_ended shard=0 worker=w task=00000000000000e8.0.0.0 run=1 state=running how=done number=9
       event=log_lines_dropped count=7
       """
-    When they are accounted for
+    When the logs are analyzed
     Then job "00000000000000e1" was "cut_off"
     And job "00000000000000e2" was "open"
     And job "00000000000000e3" was "cut_off"
@@ -287,13 +287,13 @@
     And job "00000000000000e6" was "open"
     And job "00000000000000e7" was "cut_off"
     And job "00000000000000e8" was "cut_off"
-    And 1 line broke off
-    And 7 lines were left out
+    And 1 line was truncated
+    And 7 lines were dropped
 
-  Scenario: Logs without a job
+  Scenario: The logs contain no job
     Given the logs of several nodes
       """
-      nothing of ours
+      not a log line of onyxspoke
       """
-    When an operator asks for their account
+    When an operator runs the account command on the logs
     Then the command fails and says "no job in these logs"
--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the account of where the time of jobs went."""
+"""Steps for the reports on how jobs spent their time."""
 
 import io
 import subprocess
@@ -8,9 +8,9 @@
 
 from behave import given, then, when
 
-from onyxspoke.account.jobs import account_for
+from onyxspoke.account.job_history import read_history
+from onyxspoke.account.jobs import build_job_reports
 from onyxspoke.account.phases import Phase
-from onyxspoke.account.trails import read_trails
 
 CLOSE_SECONDS = 0.005
 
@@ -20,60 +20,60 @@
     context.log_text = context.text
 
 
-@when("they are accounted for")
+@when("the logs are analyzed")
 def _account(context):
-    context.trails = read_trails(io.StringIO(context.log_text))
-    context.accounts = {account.job_id: account for account in account_for(context.trails)}
+    context.history = read_history(io.StringIO(context.log_text))
+    context.reports = {report.job_id: report for report in build_job_reports(context.history)}
 
 
 @then('job "{job_id}" was "{outcome}"')
 def _outcome(context, job_id, outcome):
-    context.account = context.accounts[job_id]
-    assert context.account.outcome.value == outcome, context.account
+    context.report = context.reports[job_id]
+    assert context.report.outcome.value == outcome, context.report
 
 
-@then('what cost it most beyond what it should have was "{phase}", by {seconds:f} s')
+@then('the phase that exceeded its expected time most was "{phase}", by {seconds:f} s')
 def _cause(context, phase, seconds):
-    account = context.account
-    assert account.worst_phase is Phase(phase), account
-    assert abs(account.excess[Phase(phase)] - seconds) < CLOSE_SECONDS, account
+    report = context.report
+    assert report.largest_excess_phase is Phase(phase), report
+    assert abs(report.excess_seconds[Phase(phase)] - seconds) < CLOSE_SECONDS, report
 
 
-@then("its objective was {seconds:f} s")
+@then("the objective of the job was {seconds:f} s")
 def _objective(context, seconds):
-    assert abs(context.account.objective_seconds - seconds) < CLOSE_SECONDS, context.account
+    assert abs(context.report.objective_seconds - seconds) < CLOSE_SECONDS, context.report
 
 
-@then("it was refused {count:d} times")
+@then("the job was refused {count:d} times")
 def _refusals(context, count):
-    assert context.account.refusals == count, context.account
+    assert context.report.refusals == count, context.report
 
 
-@then("its seconds are")
+@then("the seconds by phase are")
 def _seconds(context):
     expected = {Phase(name): float(context.table[0][name]) for name in context.table.headings}
-    found = context.account.phases
+    found = context.report.seconds_by_phase
     for phase, seconds in expected.items():
         assert abs(found[phase] - seconds) < CLOSE_SECONDS, found
-    assert abs(sum(found.values()) - context.account.seconds) < CLOSE_SECONDS * len(found)
+    assert abs(sum(found.values()) - context.report.seconds) < CLOSE_SECONDS * len(found)
 
 
-@then("{count:d} line broke off")
+@then("{count:d} line was truncated")
 def _broke_off(context, count):
-    assert context.trails.unreadable == count
+    assert context.history.unreadable_lines == count
 
 
-@then("{count:d} lines were left out")
+@then("{count:d} lines were dropped")
 def _left_out(context, count):
-    assert context.trails.dropped == count
+    assert context.history.dropped_lines == count
 
 
-@when("an operator asks for their account")
+@when("an operator runs the account command on the logs")
 def _command(context):
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "nodes.log"
         path.write_text(context.log_text, encoding="utf-8")
-        context.answer = subprocess.run(
+        context.command_result = subprocess.run(
             [sys.executable, "-m", "onyxspoke.cli.control", "account", str(path)],
             capture_output=True,
             text=True,
@@ -81,14 +81,14 @@
         )
 
 
-@then('the answer names "{first}", "{second}" and "{third}"')
-def _names(context, first, second, third):
-    assert context.answer.returncode == 0, context.answer.stderr
+@then('the command succeeds and prints "{first}", "{second}" and "{third}"')
+def _prints(context, first, second, third):
+    assert context.command_result.returncode == 0, context.command_result.stderr
     for name in (first, second, third):
-        assert name in context.answer.stdout, context.answer.stdout
+        assert name in context.command_result.stdout, context.command_result.stdout
 
 
 @then('the command fails and says "{text}"')
 def _fails(context, text):
-    assert context.answer.returncode != 0
-    assert text in context.answer.stderr, context.answer.stderr
+    assert context.command_result.returncode != 0
+    assert text in context.command_result.stderr, context.command_result.stderr
--- a/src/onyxspoke/account/__init__.py
+++ b/src/onyxspoke/account/__init__.py
@@ -1,1 +1,1 @@
-"""Where the time of jobs goes, read back from the logs of all nodes."""
+"""Job accounting: reconstructs from the logs of all nodes how each job spent its time."""
--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -1,50 +1,52 @@
-"""What became of each job, and why: its outcome, its seconds, and what made it late."""
+"""Builds a report for each job: its outcome, its time by phase, and the cause of lateness."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-from onyxspoke.account.phases import CriticalPath, PathCosts, Phase
-from onyxspoke.account.trails import JobTrail, RunTrail, Trails
-from onyxspoke.account.usual_times import UsualTimes
+from onyxspoke.account.job_history import JobHistory, LogHistory, RunHistory
+from onyxspoke.account.phases import CriticalPath, PathTimes, Phase
+from onyxspoke.account.typical_run_times import TypicalRunTimes
 
-#: A run that shows no end for so many times its queue's longest run has lost its line.
-LONGEST_RUNS = 3.0
-#: A path that leaves so many of its job's seconds untold lacks lines.
-UNTOLD_SECONDS = 0.1
+#: A run without a logged end that started at least this many times its queue's longest run time
+#: before the last log line is assumed to have ended; the log line of its end is missing.
+MISSING_END_FACTOR = 3.0
+#: Log lines are missing if the phases of a late job leave more of its time unassigned than this.
+MAX_UNASSIGNED_SECONDS = 0.1
 
 
 class Outcome(Enum):
-    """What became of a job."""
+    """The outcome of a job."""
 
-    MET = "met"
+    MET_OBJECTIVE = "met"
     LATE = "late"
     FAILED = "failed"
     CANCELLED = "cancelled"
     REFUSED = "refused"
-    OPEN = "open"
-    CUT_OFF = "cut_off"  # lines are missing that would tell
+    UNFINISHED = "open"
+    INCOMPLETE_LOGS = "cut_off"  # the log lines that would show the outcome are missing
 
 
 @dataclass(slots=True)
-class JobAccount:
-    """One job: its outcome, and its seconds by phase.
+class JobReport:
+    """The outcome of one job and its time by phase.
 
-    ``objective_seconds`` follows from what the work of its critical path should have taken: a run
-    that was slow does not move it. ``seconds`` count from the first hand-in.
+    ``objective_seconds`` is derived from the expected run times on the critical path, so a slow
+    run does not raise the objective. ``seconds`` is the time from the first submission to the end.
     """
 
     job_id: str
     queue: str
     tenant: str
-    taken_at: float
+    submitted_at: float
     objective_seconds: float
     seconds: float
     outcome: Outcome
-    phases: dict[Phase, float] = field(default_factory=dict)
-    #: By phase, what it took beyond what it should have.
-    excess: dict[Phase, float] = field(default_factory=dict)
+    #: Time spent in each phase, in seconds.
+    seconds_by_phase: dict[Phase, float] = field(default_factory=dict)
+    #: By phase, the seconds spent beyond the expected ones.
+    excess_seconds: dict[Phase, float] = field(default_factory=dict)
     is_over_share: bool = False
     refusals: int = 0
     starts: int = 0
@@ -52,97 +54,123 @@
     run_seconds: float = 0.0
 
     @property
-    def worst_phase(self) -> Phase | None:
-        """The phase that cost most beyond what it should have; None where none did."""
-        worst = max(self.excess, key=lambda phase: self.excess[phase], default=None)
-        return worst if worst is not None and self.excess[worst] > 0.0 else None
+    def largest_excess_phase(self) -> Phase | None:
+        """The phase that exceeded its expected time most, or None if no phase exceeded it."""
+        largest = max(
+            self.excess_seconds, key=lambda phase: self.excess_seconds[phase], default=None
+        )
+        return largest if largest is not None and self.excess_seconds[largest] > 0.0 else None
 
     @property
-    def over_seconds(self) -> float:
-        """How far it was over its objective."""
+    def seconds_over_objective(self) -> float:
+        """Seconds by which the job exceeded its objective; 0 if it met the objective."""
         return max(0.0, self.seconds - self.objective_seconds)
 
 
-def account_for(trails: Trails) -> list[JobAccount]:
-    """Return the account of every job that the logs tell of."""
-    usual = UsualTimes(trails.jobs.values())
-    return [_account_of(job, trails, usual) for job in trails.jobs.values() if _is_known(job)]
-
-
-def _is_known(job: JobTrail) -> bool:
-    """Return whether some node took it in, refused it, or showed it at work."""
-    return bool(job.handed_in_at or job.accepted_at or job.ended_at or job.runs)
-
-
-def _account_of(job: JobTrail, trails: Trails, usual: UsualTimes) -> JobAccount:
-    handed_in_at = _handed_in_at(job)
-    seconds = max(0.0, (job.ended_at or handed_in_at) - handed_in_at)
-    path = PathCosts({})
-    if job.ended_at is not None and job.state == "completed" and job.taken_at is not None:
-        path = CriticalPath(job, trails.takeovers, usual).costs(handed_in_at, job.ended_at)
-    objective = job.stretch * path.chain_seconds + job.target_seconds
-    runs = _runs(job)
-    return JobAccount(
+def build_job_reports(history: LogHistory) -> list[JobReport]:
+    """Return a report on every job with recorded activity in the logs."""
+    typical_times = TypicalRunTimes(history.jobs.values())
+    return [
+        _build_report(job, history, typical_times)
+        for job in history.jobs.values()
+        if _has_activity(job)
+    ]
+
+
+def _has_activity(job: JobHistory) -> bool:
+    """Return whether the logs show a submission, a run or the end of the job."""
+    return bool(job.submitted_at or job.accepted_at or job.ended_at or job.runs)
+
+
+def _build_report(
+    job: JobHistory, history: LogHistory, typical_times: TypicalRunTimes
+) -> JobReport:
+    submitted_at = _submitted_at(job)
+    seconds = max(0.0, (job.ended_at or submitted_at) - submitted_at)
+    path_times = PathTimes({})
+    if job.ended_at is not None and job.state == "completed" and job.admitted_at is not None:
+        path_times = CriticalPath(job, history.takeovers, typical_times).compute(
+            submitted_at, job.ended_at
+        )
+    objective_seconds = job.stretch * path_times.required_seconds + job.target_seconds
+    runs = _all_runs(job)
+    return JobReport(
         job.job_id,
         job.queue,
         job.tenant,
-        handed_in_at,
-        objective,
+        submitted_at,
+        objective_seconds,
         seconds,
-        _outcome(job, trails, usual, _judge(seconds, objective, path)),
-        path.spent,
-        path.excess(),
+        _outcome(
+            job, history, typical_times, _completed_outcome(seconds, objective_seconds, path_times)
+        ),
+        path_times.spent_seconds,
+        path_times.excess_seconds(),
         job.is_over_share,
         refusals=len(job.refusals),
         starts=len(runs),
-        advice_answers=sum(len(moments) for moments in job.advice.values()),
+        advice_answers=sum(len(timestamps) for timestamps in job.advice_received_at.values()),
         run_seconds=sum(run.seconds for run in runs),
     )
 
 
-def _handed_in_at(job: JobTrail) -> float:
-    moments = [job.handed_in_at, job.accepted_at, *(run.started_at for run in _runs(job))]
-    known = [moment for moment in moments if moment is not None]
-    return min(known) if known else job.ended_at or 0.0
+def _submitted_at(job: JobHistory) -> float:
+    timestamps = [job.submitted_at, job.accepted_at, *(run.started_at for run in _all_runs(job))]
+    known_timestamps = [timestamp for timestamp in timestamps if timestamp is not None]
+    return min(known_timestamps) if known_timestamps else job.ended_at or 0.0
 
 
-def _runs(job: JobTrail) -> list[RunTrail]:
+def _all_runs(job: JobHistory) -> list[RunHistory]:
     return [run for runs in job.runs.values() for run in runs.values()]
 
 
-def _judge(seconds: float, objective: float, path: PathCosts) -> Outcome:
+def _completed_outcome(seconds: float, objective_seconds: float, path_times: PathTimes) -> Outcome:
     """Return the outcome of a completed job."""
-    if seconds <= objective:
-        return Outcome.MET
-    is_told = seconds - sum(path.spent.values()) <= UNTOLD_SECONDS
-    return Outcome.LATE if is_told else Outcome.CUT_OFF
+    if seconds <= objective_seconds:
+        return Outcome.MET_OBJECTIVE
+    is_fully_assigned = seconds - sum(path_times.spent_seconds.values()) <= MAX_UNASSIGNED_SECONDS
+    return Outcome.LATE if is_fully_assigned else Outcome.INCOMPLETE_LOGS
 
 
-def _outcome(job: JobTrail, trails: Trails, usual: UsualTimes, completed: Outcome) -> Outcome:
+def _outcome(
+    job: JobHistory, history: LogHistory, typical_times: TypicalRunTimes, completed_outcome: Outcome
+) -> Outcome:
     if _was_only_refused(job):
         return Outcome.REFUSED
     if job.state == "cancelled" or (job.is_cancelled and not job.state):
         return Outcome.CANCELLED
     if job.state == "failed":
         return Outcome.FAILED
-    if job.taken_at is None:
-        return Outcome.CUT_OFF
+    if job.admitted_at is None:
+        return Outcome.INCOMPLETE_LOGS
     if job.state == "completed":
-        return completed
-    bound = LONGEST_RUNS * usual.longest_by_queue.get(job.queue, 0.0)
-    return Outcome.CUT_OFF if _lacks_ends(job, trails.last_moment - bound) else Outcome.OPEN
+        return completed_outcome
+    max_run_seconds = MISSING_END_FACTOR * typical_times.longest_run_seconds_by_queue.get(
+        job.queue, 0.0
+    )
+    return (
+        Outcome.INCOMPLETE_LOGS
+        if _has_missing_run_ends(job, history.last_timestamp - max_run_seconds)
+        else Outcome.UNFINISHED
+    )
 
 
-def _was_only_refused(job: JobTrail) -> bool:
+def _was_only_refused(job: JobHistory) -> bool:
     if not job.refusals or job.accepted_at is not None or job.runs or job.state:
         return False
-    return job.taken_at is None or job.taken_at <= job.refusals[-1].moment
+    return job.admitted_at is None or job.admitted_at <= job.refusals[-1].timestamp
+
 
+def _has_missing_run_ends(job: JobHistory, started_before: float) -> bool:
+    """Return whether log lines are missing for a job that has no logged end.
 
-def _lacks_ends(job: JobTrail, begun_before: float) -> bool:
-    """Return whether lines of its runs are missing: all are done, or one ran long ago."""
+    Lines are missing if all tasks are done, or if the last run of a task has no logged end and
+    started by the given time.
+    """
     last_runs = [max(runs.values(), key=lambda run: run.started_at) for runs in job.runs.values()]
-    if any(run.ended_at is None and run.started_at <= begun_before for run in last_runs):
+    if any(run.ended_at is None and run.started_at <= started_before for run in last_runs):
         return True
-    are_done = all(any(run.how == "done" for run in runs.values()) for runs in job.runs.values())
-    return bool(last_runs) and len(last_runs) >= job.task_count and are_done
+    all_tasks_done = all(
+        any(run.end_kind == "done" for run in runs.values()) for runs in job.runs.values()
+    )
+    return bool(last_runs) and len(last_runs) >= job.task_count and all_tasks_done
--- a/src/onyxspoke/account/log_lines.py
+++ b/src/onyxspoke/account/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines as pairs, also where the output of several processes meets within one line."""
+"""Parses log lines into fields, also where processes have written into each other's lines."""
 
 from __future__ import annotations
 
@@ -7,74 +7,74 @@
 from dataclasses import dataclass, field
 from datetime import datetime
 
-_PAIR = re.compile(r"(\w+)=(\S+)")
-#: Where a line of ours begins, also amid another one.
-_HEAD = re.compile(r"(?=time=\d{4}-\d{2}-\d{2}T)")
+_FIELD = re.compile(r"(\w+)=(\S+)")
+#: Matches the start of a log line, also within another line.
+_LINE_START = re.compile(r"(?=time=\d{4}-\d{2}-\d{2}T)")
 
 
 @dataclass(slots=True)
 class LogLine:
-    """One line: when it was written, its event, and its pairs.
+    """One log line: its time, its event and its fields.
 
     Attributes
     ----------
-    moment : float
-        Seconds since 1970.
+    timestamp : float
+        Time at which the line was written, in seconds since 1970.
     """
 
-    moment: float
+    timestamp: float
     event: str
-    pairs: dict[str, str]
+    fields: dict[str, str]
 
 
 @dataclass(slots=True)
 class LogReader:
-    """Takes text of several processes' logs apart.
+    """Parses the combined logs of several processes.
 
     Attributes
     ----------
-    broken : int
-        Lines that another one cut short.
-    dropped : int
-        Lines that processes say they left out.
+    truncated_lines : int
+        Number of lines cut short by the start of another line.
+    dropped_lines : int
+        Number of lines that processes report to have dropped.
     """
 
-    broken: int = 0
-    dropped: int = 0
+    truncated_lines: int = 0
+    dropped_lines: int = 0
     lines: list[LogLine] = field(default_factory=list)
 
     def read(self, texts: Iterable[str]) -> list[LogLine]:
-        """Return the lines by their times."""
+        """Return all lines read so far, sorted by time."""
         for text in texts:
-            for part, is_cut in _parts(text):
-                self._take(part, is_cut)
-        self.lines.sort(key=lambda line: line.moment)
+            for part, is_truncated in _split_lines(text):
+                self._add_line(part, is_truncated)
+        self.lines.sort(key=lambda line: line.timestamp)
         return self.lines
 
-    def _take(self, text: str, is_cut: bool) -> None:
-        found = _PAIR.findall(text)
-        if is_cut:
-            self.broken += 1
-            # Its last value may have been cut short.
-            found = found[:-1]
-        pairs = dict(found)
-        event = pairs.get("event", "")
+    def _add_line(self, text: str, is_truncated: bool) -> None:
+        matches = _FIELD.findall(text)
+        if is_truncated:
+            self.truncated_lines += 1
+            # The last value of a truncated line may be incomplete.
+            matches = matches[:-1]
+        fields = dict(matches)
+        event = fields.get("event", "")
         if event == "log_lines_dropped":
-            self.dropped += int(pairs.get("count", "0"))
-        moment = _moment(pairs.get("time", ""))
-        if moment is not None and event:
-            self.lines.append(LogLine(moment, event, pairs))
+            self.dropped_lines += int(fields.get("count", "0"))
+        timestamp = _parse_timestamp(fields.get("time", ""))
+        if timestamp is not None and event:
+            self.lines.append(LogLine(timestamp, event, fields))
 
 
-def _parts(text: str) -> Iterator[tuple[str, bool]]:
-    """Split a text where lines begin; each part with whether the next one cuts it short."""
-    parts = _HEAD.split(text)
-    for number, part in enumerate(parts):
+def _split_lines(text: str) -> Iterator[tuple[str, bool]]:
+    """Split text at the starts of lines; yield each line and whether the next one truncates it."""
+    parts = _LINE_START.split(text)
+    for index, part in enumerate(parts):
         if part.startswith("time=") or "event=" in part:
-            yield part, number < len(parts) - 1 and part.startswith("time=")
+            yield part, index < len(parts) - 1 and part.startswith("time=")
 
 
-def _moment(text: str) -> float | None:
+def _parse_timestamp(text: str) -> float | None:
     try:
         return datetime.fromisoformat(text).timestamp()
     except ValueError:
--- a/src/onyxspoke/cli/account_command.py
+++ b/src/onyxspoke/cli/account_command.py
@@ -1,4 +1,4 @@
-"""``onyxspokectl account``: where the time of jobs went, from the logs of all nodes."""
+"""``onyxspokectl account``: reports from the logs of all nodes how jobs spent their time."""
 
 from __future__ import annotations
 
@@ -8,65 +8,77 @@
 from pathlib import Path
 from typing import Any
 
-from onyxspoke.account.jobs import JobAccount, Outcome, account_for
+from onyxspoke.account.job_history import LogHistory, read_history
+from onyxspoke.account.jobs import JobReport, Outcome, build_job_reports
 from onyxspoke.account.phases import Phase
-from onyxspoke.account.trails import Trails, read_trails
 from onyxspoke.cli.account_tables import (
     WINDOW_SECONDS,
     print_causes,
     print_queues,
+    print_resource_use,
     print_tenants,
-    print_uses,
-    print_windows,
+    print_time_windows,
     print_worst,
 )
 from onyxspoke.cli.api_client import ApiClient
 from onyxspoke.core.codes import ExitCode
 
-#: A line of progress on standard error for so many log lines.
+#: Number of log lines after which a line of progress is printed to standard error.
 PROGRESS_LINES = 200_000
 WORST_JOBS = 15
 
 
 def add_account_command(commands: Any) -> None:
-    """Add the command to a parser."""
-    account = commands.add_parser("account", help="where the time of jobs went, from nodes' logs")
-    account.add_argument("files", nargs="+", type=Path, metavar="LOG")
-    account.add_argument("--worst", type=int, default=WORST_JOBS, help="jobs listed one by one")
-    account.add_argument("--plot", type=Path, metavar="FILE.png", help="needs the plot extra")
-    account.set_defaults(run=_account)
+    """Add the ``account`` command to a parser."""
+    parser = commands.add_parser("account", help="report from node logs how jobs spent time")
+    parser.add_argument("files", nargs="+", type=Path, metavar="LOG")
+    parser.add_argument(
+        "--worst", type=int, default=WORST_JOBS, help="number of jobs to list individually"
+    )
+    parser.add_argument(
+        "--plot",
+        type=Path,
+        metavar="FILE.png",
+        help="write a plot to this file (requires the plot extra)",
+    )
+    parser.set_defaults(run=_account)
 
 
 def _account(_client: ApiClient, arguments: argparse.Namespace) -> ExitCode:
     try:
-        trails = read_trails(_lines(arguments.files))
+        history = read_history(_read_lines(arguments.files))
     except OSError as error:
         print(f"account: {error}", file=sys.stderr)
         return ExitCode.USAGE
-    accounts = account_for(trails)
-    _print_lacks(trails)
-    if not accounts:
+    reports = build_job_reports(history)
+    _warn_of_missing_lines(history)
+    if not reports:
         print("account: no job in these logs", file=sys.stderr)
         return ExitCode.FAILED
-    print_queues(accounts)
-    print_tenants(accounts)
-    print_causes(accounts)
-    print_uses(accounts)
-    print_windows(accounts)
-    print_worst(accounts, arguments.worst)
+    print_queues(reports)
+    print_tenants(reports)
+    print_causes(reports)
+    print_resource_use(reports)
+    print_time_windows(reports)
+    print_worst(reports, arguments.worst)
     if arguments.plot is not None:
-        plot_accounts(accounts, arguments.plot)
+        plot_reports(reports, arguments.plot)
     return ExitCode.OK
 
 
-def _print_lacks(trails: Trails) -> None:
-    if trails.unreadable:
-        print(f"account: {trails.unreadable} lines break off", file=sys.stderr)
-    if trails.dropped:
-        print(f"account: {trails.dropped} lines were left out by their nodes", file=sys.stderr)
+def _warn_of_missing_lines(history: LogHistory) -> None:
+    if history.unreadable_lines:
+        print(
+            f"account: {history.unreadable_lines} lines are truncated or malformed", file=sys.stderr
+        )
+    if history.dropped_lines:
+        print(
+            f"account: {history.dropped_lines} lines were dropped by the nodes that logged them",
+            file=sys.stderr,
+        )
 
 
-def _lines(files: Iterable[Path]) -> Iterator[str]:
+def _read_lines(files: Iterable[Path]) -> Iterator[str]:
     count = 0
     for path in files:
         with path.open(encoding="utf-8", errors="replace") as file:
@@ -77,27 +89,37 @@
                 yield line
 
 
-def plot_accounts(accounts: list[JobAccount], path: Path) -> None:
-    """Write the jobs by outcome over time, and the late jobs' seconds by phase, as one PNG."""
+def plot_reports(reports: list[JobReport], path: Path) -> None:
+    """Plot the jobs by outcome over time, and the time of late jobs by phase, to a PNG file."""
     import matplotlib  # noqa: PLC0415  (an optional extra)
 
     matplotlib.use("Agg")
     from matplotlib import pyplot  # noqa: PLC0415
 
-    first = min(account.taken_at for account in accounts)
-    figure, (above, below) = pyplot.subplots(2, 1, figsize=(11, 7))
-    groups = [
-        [account.taken_at - first for account in accounts if account.outcome is outcome]
+    first_submitted_at = min(report.submitted_at for report in reports)
+    figure, (outcome_axes, phase_axes) = pyplot.subplots(2, 1, figsize=(11, 7))
+    submission_times_by_outcome = [
+        [
+            report.submitted_at - first_submitted_at
+            for report in reports
+            if report.outcome is outcome
+        ]
         for outcome in Outcome
     ]
-    last = max(account.taken_at for account in accounts) - first
-    above.hist(groups, bins=max(1, int(last / WINDOW_SECONDS) + 1), stacked=True)
-    above.legend([outcome.value for outcome in Outcome])
-    above.set_xlabel("handed in, s")
-    above.set_ylabel("jobs")
-    late = [account for account in accounts if account.outcome is Outcome.LATE]
-    costs = [sum(account.phases.get(phase, 0.0) for account in late) for phase in Phase]
-    below.bar([phase.value for phase in Phase], costs)
-    below.set_ylabel("seconds of late jobs")
+    span_seconds = max(report.submitted_at for report in reports) - first_submitted_at
+    outcome_axes.hist(
+        submission_times_by_outcome,
+        bins=max(1, int(span_seconds / WINDOW_SECONDS) + 1),
+        stacked=True,
+    )
+    outcome_axes.legend([outcome.value for outcome in Outcome])
+    outcome_axes.set_xlabel("submission time, s")
+    outcome_axes.set_ylabel("jobs")
+    late_reports = [report for report in reports if report.outcome is Outcome.LATE]
+    phase_seconds = [
+        sum(report.seconds_by_phase.get(phase, 0.0) for report in late_reports) for phase in Phase
+    ]
+    phase_axes.bar([phase.value for phase in Phase], phase_seconds)
+    phase_axes.set_ylabel("seconds of late jobs")
     figure.tight_layout()
     figure.savefig(path, dpi=80)
