--- a/features/steps/account_steps.py
+++ b/features/steps/account_steps.py
@@ -51,11 +51,15 @@
 
 @then("the seconds by phase are")
 def _seconds(context):
-    expected = {Phase(name): float(context.table[0][name]) for name in context.table.headings}
-    found = context.report.seconds_by_phase
-    for phase, seconds in expected.items():
-        assert abs(found[phase] - seconds) < CLOSE_SECONDS, found
-    assert abs(sum(found.values()) - context.report.seconds) < CLOSE_SECONDS * len(found)
+    expected_seconds = {
+        Phase(name): float(context.table[0][name]) for name in context.table.headings
+    }
+    seconds_by_phase = context.report.seconds_by_phase
+    for phase, seconds in expected_seconds.items():
+        assert abs(seconds_by_phase[phase] - seconds) < CLOSE_SECONDS, seconds_by_phase
+    assert abs(sum(seconds_by_phase.values()) - context.report.seconds) < CLOSE_SECONDS * len(
+        seconds_by_phase
+    )
 
 
 @then("{count:d} line was truncated")
--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -9,8 +9,8 @@
 from onyxspoke.account.phases import CriticalPath, PathTimes, Phase
 from onyxspoke.account.typical_run_times import TypicalRunTimes
 
-#: A run without a logged end that started at least this many times its queue's longest run time
-#: before the last log line is assumed to have ended; the log line of its end is missing.
+#: A run without a logged end is assumed to have ended, with the log line of its end missing, if it
+#: started this many times the longest run time of its queue before the last log line.
 MISSING_END_FACTOR = 3.0
 #: Log lines are missing if the phases of a late job leave more of its time unassigned than this.
 MAX_UNASSIGNED_SECONDS = 0.1
@@ -25,7 +25,7 @@
     CANCELLED = "cancelled"
     REFUSED = "refused"
     UNFINISHED = "open"
-    INCOMPLETE_LOGS = "cut_off"  # the log lines that would show the outcome are missing
+    INCOMPLETE_LOGS = "cut_off"  # log lines that show the outcome are missing
 
 
 @dataclass(slots=True)
@@ -48,9 +48,13 @@
     #: By phase, the seconds spent beyond the expected ones.
     excess_seconds: dict[Phase, float] = field(default_factory=dict)
     is_over_share: bool = False
+    #: Number of refused submissions of the job.
     refusals: int = 0
+    #: Number of runs that were started for the job.
     starts: int = 0
+    #: Number of times that advice on a step of the job arrived.
     advice_answers: int = 0
+    #: Total time of all runs.
     run_seconds: float = 0.0
 
     @property
--- a/src/onyxspoke/account/log_lines.py
+++ b/src/onyxspoke/account/log_lines.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass, field
 from datetime import datetime
 
+#: Matches one field of a log line, ``key=value``.
 _FIELD = re.compile(r"(\w+)=(\S+)")
 #: Matches the start of a log line, also within another line.
 _LINE_START = re.compile(r"(?=time=\d{4}-\d{2}-\d{2}T)")
--- a/src/onyxspoke/cli/account_tables.py
+++ b/src/onyxspoke/cli/account_tables.py
@@ -121,7 +121,7 @@
 
 
 def print_time_windows(reports: list[JobReport]) -> None:
-    """Print by submission time how many jobs missed their objective, and the phases to blame."""
+    """Print by submission time how many jobs missed their objective, and the phases at fault."""
     print("\njobs that missed their objective, by the second of their submission")
     first_submitted_at = min(report.submitted_at for report in reports)
     windows: dict[int, list[JobReport]] = defaultdict(list)
