--- a/src/onyxspoke/core/tenants/quota_usage.py
+++ b/src/onyxspoke/core/tenants/quota_usage.py
@@ -1,7 +1,7 @@
-"""What each tenant may have running: counted from the order to the certain end of every run.
+"""Tracks the resources that each tenant's runs use, and limits new runs to the quotas.
 
-A run counts from before its start is ordered until its worker lists the end, or it is certain
-that it cannot be at work: also while it is stopped, in doubt, or on a worker that is silent.
+A run counts from before its start is ordered until its worker lists the end or the run certainly
+cannot execute.  A run also counts while it is stopped, in doubt, or on an unresponsive worker.
 """
 
 from __future__ import annotations
@@ -17,76 +17,81 @@
 )
 from onyxspoke.core.tenants.policy import TenantName
 
-#: Stands for an amount without a limit.
+#: An amount that stands for no limit.
 UNLIMITED = 1 << 60
 
 
 class QuotaUsage:
-    """What the runs of each tenant take, over all workers of a shard."""
+    """The resources that each tenant's runs use on all workers of a shard."""
 
     def __init__(self) -> None:
         self._used: dict[TenantName, ResourceVector] = {}
 
     def used(self, tenant: TenantName) -> ResourceVector:
-        """Return what a tenant's runs take."""
+        """Return the resources that a tenant's runs use."""
         return self._used.get(tenant, ResourceVector())
 
     def add(self, tenant: TenantName, needs: ResourceVector) -> None:
-        """A run may be at work from now on."""
+        """Add the resources of a run that may execute from now on."""
         self._used[tenant] = add_vectors(self.used(tenant), needs)
 
     def remove(self, tenant: TenantName, needs: ResourceVector) -> None:
-        """A run is certainly over."""
-        left = subtract_vectors(self.used(tenant), needs)
-        if any(left):
-            self._used[tenant] = left
+        """Subtract the resources of a run that has certainly ended."""
+        remaining = subtract_vectors(self.used(tenant), needs)
+        if any(remaining):
+            self._used[tenant] = remaining
         else:
             self._used.pop(tenant, None)
 
 
 class QuotaBudget:
-    """What tenants may still start, as one pass of placement sees it.
+    """The resources that tenants may still use for new tasks in one placement pass.
 
     Parameters
     ----------
-    part_of : callable
-        Returns what a tenant may have running in this shard; ``UNLIMITED`` sets no limit.
+    allocation_of : callable
+        Returns the resources that a tenant's runs may use in this shard; ``UNLIMITED`` sets no
+        limit.
     ledger : QuotaUsage
-        What may be running.
-    doubts : dict of TenantName to ResourceVector
-        What may be running beside, on workers that have not told yet.
+        The resources in use.
+    usage_in_doubt : dict of TenantName to ResourceVector
+        Further resources that may be in use on workers that have not reported their runs yet.
     """
 
     def __init__(
         self,
-        part_of: Callable[[TenantName], ResourceVector],
+        allocation_of: Callable[[TenantName], ResourceVector],
         ledger: QuotaUsage,
-        doubts: dict[TenantName, ResourceVector],
+        usage_in_doubt: dict[TenantName, ResourceVector],
     ) -> None:
-        self._part_of = part_of
+        self._allocation_of = allocation_of
         self._ledger = ledger
-        self._doubts = doubts
-        self._left: dict[TenantName, ResourceVector] = {}
+        self._usage_in_doubt = usage_in_doubt
+        self._remaining: dict[TenantName, ResourceVector] = {}
 
     def slots(self, tenant: TenantName, needs: ResourceVector) -> int:
         """Return how many more tasks with these needs a tenant may start."""
-        return count_fitting_tasks(self._left_of(tenant), needs)
+        return count_fitting_tasks(self._remaining_for(tenant), needs)
 
     def take(self, tenant: TenantName, needs: ResourceVector, count: int) -> None:
-        """So many more tasks start."""
-        self._left[tenant] = subtract_vectors(self._left_of(tenant), scale_vector(needs, count))
-
-    def _left_of(self, tenant: TenantName) -> ResourceVector:
-        left = self._left.get(tenant)
-        if left is None:
-            left = subtract_vectors(self._part_of(tenant), self._ledger.used(tenant))
-            left = subtract_vectors(left, self._doubts.get(tenant, ResourceVector()))
-            self._left[tenant] = left
-        return left
+        """Subtract the resources of ``count`` tasks that start."""
+        self._remaining[tenant] = subtract_vectors(
+            self._remaining_for(tenant), scale_vector(needs, count)
+        )
+
+    def _remaining_for(self, tenant: TenantName) -> ResourceVector:
+        remaining = self._remaining.get(tenant)
+        if remaining is None:
+            remaining = subtract_vectors(self._allocation_of(tenant), self._ledger.used(tenant))
+            remaining = subtract_vectors(
+                remaining, self._usage_in_doubt.get(tenant, ResourceVector())
+            )
+            self._remaining[tenant] = remaining
+        return remaining
 
 
 def unlimited_quotas() -> QuotaBudget:
-    """Return the quotas of a cell without tenants."""
+    """Return the budget of a cell without tenants, which has no limits."""
     return QuotaBudget(lambda _tenant: _NO_LIMIT, QuotaUsage(), {})
 
 
