--- a/src/onyxspoke/core/admission/decider.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -3,8 +3,12 @@
 A job that certainly expires before it finishes is refused; a job that certainly finishes in time is
 admitted.  In between, a job is admitted if its tenant is entitled to it, or if it is a timely
 retry of a refused job.  A job within its tenant's share that may still meet its objective is
-admitted whatever waits, because a result on time is worth more than a late one.  No other job is
-admitted if it would make an admitted late job of the same rank class expire.
+admitted whatever waits, because a result on time is worth more than a late one.  Any other job is
+refused if it would make an admitted late job of the same rank class expire.
+
+Three kinds of job are exempt from these rules.  A job without an end or an objective is always
+admitted.  A job that needs more than its tenant's whole quota is refused.  A job that would be
+refused is admitted if free workers could run it now and its advice arrives in time.
 """
 
 from __future__ import annotations
--- a/src/onyxspoke/core/admission/free_capacity_curve.py
+++ b/src/onyxspoke/core/admission/free_capacity_curve.py
@@ -28,7 +28,8 @@
         self._change_seconds = [0.0]
         self._work_done = [0.0]
         self._free_shares = [max(0.0, initial_free_share)]
-        # The free share is negative if more is held than the total, as after a quota was lowered.
+        # The free share is negative if more than the total is held, for instance after a quota
+        # was lowered.
         free_share = initial_free_share
         for seconds, share in sorted(releases):
             elapsed_seconds = seconds - self._change_seconds[-1]
--- a/src/onyxspoke/core/admission/load_view.py
+++ b/src/onyxspoke/core/admission/load_view.py
@@ -34,7 +34,7 @@
     quota_pools : dict of TenantName to ResourcePool
         Pool of each tenant that has a quota.
     free_capacity : dict of str to list of FreeCapacity
-        Workers of each service with free capacity, in descending order of free processors.
+        For each service, the workers with free capacity, in descending order of free processors.
     """
 
     made_at: float
--- a/src/onyxspoke/core/admission/load_view_builder.py
+++ b/src/onyxspoke/core/admission/load_view_builder.py
@@ -252,7 +252,7 @@
 
 
 def rank_ignoring_lateness(rank: StepRank) -> StepRank:
-    """Return a step's rank as if it were on time, if it is late; an expired step keeps its rank.
+    """Return the rank that a late step would have if it were on time; other ranks stay as they are.
 
     The placement order moves late steps behind those on time.  With that order in the view, every
     admitted job would delay the late steps further, until they expire.
@@ -270,7 +270,7 @@
 
 
 def _retry_work(expected_retry: ExpectedRetry) -> WaitingWork:
-    """Return the work of an expected retry; the lower bound is 0, because it may not come."""
+    """Return the work of an expected retry; the lower bound is 0, as it may never come."""
     return WaitingWork(expected_retry.rank, expected_retry.share_seconds, 0.0, 1.0)
 
 
--- a/src/onyxspoke/core/admission/queue_closures.py
+++ b/src/onyxspoke/core/admission/queue_closures.py
@@ -12,7 +12,7 @@
 MAX_NOTICE_TENANTS = 20
 #: Maximum length of a closure after one refusal, in seconds.
 MAX_CLOSURE_SECONDS = 30.0
-#: A queue counts as reopened after this many seconds without a refusal.
+#: A queue counts as reopened only after this many seconds without a refusal.
 REOPEN_DELAY_SECONDS = 1.0
 
 
@@ -99,6 +99,6 @@
 
 
 def _notice(queue: str, tenant_closures: list[tuple[float, TenantName]]) -> QueueNotice:
-    """Return a queue's notice for some tenants, closed for the shortest of their closures."""
+    """Return the notice of a queue for some tenants; the shortest of their closures counts."""
     tenant_names = tuple(tenant for _remaining_seconds, tenant in tenant_closures)
     return QueueNotice(queue=queue, closed_seconds=tenant_closures[-1][0], tenants=tenant_names)
--- a/src/onyxspoke/core/admission/refused_jobs.py
+++ b/src/onyxspoke/core/admission/refused_jobs.py
@@ -50,7 +50,7 @@
     expected_retry : ExpectedRetry
         Work that the retry would bring.
     slot : RetrySlot or None
-        Reservation for the retry; None once the retry is overdue.
+        Reservation for the retry; None if none could be made, or once the retry is overdue.
     """
 
     first_submitted_at: float
@@ -118,7 +118,8 @@
         max_reserved_work : float
             Work that may be reserved in each second for jobs of this urgency, in share-seconds.
         is_load_known : bool
-            If false, a job for which no second is left is not told to retry after it has expired.
+            If false, and no second before the job expires has work left, the retry time is
+            ``wait_seconds`` without a reservation, rather than a time after the job has expired.
         """
         previous = self.forget(key)
         if len(self._jobs) >= MAX_REFUSED_JOBS:
@@ -145,9 +146,10 @@
         now: float,
         is_load_known: bool,
     ) -> RetrySlot | None:
-        """Reserve a second in which the job can still finish, or the first one after it expires.
+        """Reserve work for a retry from which the job can still finish before it expires.
 
-        A retry in between would be refused again; after the expiry, the job counts as new.
+        If there is none, reserve work after the job has expired, when it counts as new.  A retry
+        in between would be refused again.
         """
         reserve = self.retry_schedule.reserve_slot
         slot = reserve(
@@ -176,7 +178,7 @@
     def expected_retries(self, now: float) -> Iterator[ExpectedRetry]:
         """Yield the work of refused jobs whose retry is still expected before they expire.
 
-        A job that is told to retry after its expiry may not come, and counts as new if it does.
+        A job whose retry time is after its expiry may never be retried; if it is, it counts as new.
         """
         for refused in self._jobs.values():
             is_before_expiry = refused.retry_at <= refused.expires_at
@@ -188,7 +190,7 @@
                 yield refused.expected_retry
 
     def release_missed(self, now: float) -> None:
-        """Release the reservations of overdue retries, and forget those that have expired."""
+        """Release the reservations of overdue retries, and forget overdue jobs that expired."""
         for key, refused in list(self._jobs.items()):
             if now <= refused.retry_at + LATE_TOLERANCE_SECONDS:
                 continue
--- a/src/onyxspoke/core/admission/resource_pool.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -32,7 +32,7 @@
 
 
 def dominant_share(needs: ResourceVector, total: ResourceVector) -> float:
-    """Return the largest share of any resource that an amount takes of a total."""
+    """Return an amount as a share of a total, for the resource of which it takes most."""
     share = needs[0] / total[0] if total[0] > 0 else 0.0
     if needs[1] > 0 and total[1] > 0:
         share = max(share, needs[1] / total[1])
@@ -225,7 +225,7 @@
         return WorkEstimate(low, high, longest_task_seconds)
 
     def _capacity_curve(self, priority: int, *, is_best_case: bool = False) -> FreeCapacityCurve:
-        """Return the capacity that becomes free for a queue of a priority.
+        """Return the capacity that becomes free for the queues of one priority.
 
         In the best case, workers that are not reconciled yet are counted, because they may be idle
         and answer at any moment.
@@ -243,7 +243,7 @@
     def _make_capacity_curve(
         self, priority: int, total: float, held: list[HeldCapacity]
     ) -> FreeCapacityCurve:
-        """Return the capacity that becomes free for a queue of a priority.
+        """Return the capacity that becomes free for the queues of one priority.
 
         Preemptible runs of queues with lower priority release their share as soon as they can stop.
         """
--- a/src/onyxspoke/core/admission/retry_schedule.py
+++ b/src/onyxspoke/core/admission/retry_schedule.py
@@ -1,4 +1,4 @@
-"""The seconds at which refused jobs are to be retried, each with at most the work it can serve."""
+"""Spreads the retries of refused jobs over future seconds, up to a limit of work in each second."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         now: float,
         max_wait_seconds: float = MAX_WAIT_SECONDS,
     ) -> RetrySlot | None:
-        """Reserve work from the first second with any left; return None if there is no such second.
+        """Reserve work from the first second that is not full; return None if all are full.
 
         Parameters
         ----------
@@ -97,7 +97,7 @@
 def _reserve(
     reserved: dict[int, float], second: int, work: float, max_reserved_work: float
 ) -> tuple[tuple[int, float], ...]:
-    """Reserve work from a second on, within the limit of each; return the amount by second."""
+    """Reserve work from a second on, up to the limit of each; return the amount in each."""
     reservations = []
     last_second = second + MAX_WAIT_SECONDS
     while work > 0.0 and second <= last_second:
--- a/src/onyxspoke/core/admission/submitted_job.py
+++ b/src/onyxspoke/core/admission/submitted_job.py
@@ -63,7 +63,7 @@
     is_timely_retry : bool
         The job was refused before, and is retried at the time that its caller was given.
     advice_seconds : float
-        Time until the advice queue has answered for its first step.
+        Expected time until the advice service has answered for its first step.
     chain_median_seconds, chain_upper_seconds : float
         Duration of the longest chain of dependent steps.
     """
@@ -88,7 +88,7 @@
 
     @property
     def expires_at(self) -> float:
-        """Time on the holder's clock at which the job expires: its caller has given up."""
+        """Time on the holder's clock at which the job expires, and its caller counts as gone."""
         return self.first_submitted_at + EXPIRY_FACTOR * self.objective_seconds
 
     def exceeds_quota(self, quota: ResourceVector) -> bool:
--- a/src/onyxspoke/core/admission/summary.py
+++ b/src/onyxspoke/core/admission/summary.py
@@ -21,7 +21,7 @@
     Attributes
     ----------
     closed_seconds : float
-        Rest of the closure, from the time at which the summary was made.
+        Rest of the closure, in seconds from the time at which the summary was made.
     tenants : tuple of str
         Tenants for which the queue is closed; empty if it is closed for all.
     """
@@ -55,7 +55,7 @@
 def truncate_summary(
     summary: AdmissionSummary, max_bytes: int = MAX_SUMMARY_BYTES
 ) -> AdmissionSummary:
-    """Return the summary, without as many notices as needed to keep it within a size.
+    """Return the summary; if it exceeds ``max_bytes``, leave out notices until it fits.
 
     Queues that are closed for longer are kept first; a queue that is left out counts as open.
     """
--- a/src/onyxspoke/core/admission/verdict.py
+++ b/src/onyxspoke/core/admission/verdict.py
@@ -46,7 +46,7 @@
     start_delay_seconds, start_delay_upper_seconds : float
         Best-case and worst-case delay until the job could start.
     advice_seconds : float
-        Time until the advice queue has answered for the job.
+        Expected time until the advice service has answered for the job.
     work_median_seconds, work_upper_seconds : float
         Median and upper quantile of the duration of the job's longest chain of steps.
     seconds_to_expiry : float
@@ -64,7 +64,7 @@
     start_delay_upper_seconds: float = 0.0
 
     def as_fields(self) -> dict[str, float]:
-        """Return the values as keys of a log line."""
+        """Return the values as the fields of a log line."""
         return {
             "ahead_s": round(self.start_delay_seconds, _LOG_DIGITS),
             "ahead_upper_s": round(self.start_delay_upper_seconds, _LOG_DIGITS),
--- a/src/onyxspoke/core/admission/waiting_work.py
+++ b/src/onyxspoke/core/admission/waiting_work.py
@@ -23,7 +23,7 @@
     share : float
         Share of the capacity that all of its tasks take together.
     low_seconds, high_seconds : float
-        Lower and upper bound of the duration.
+        Lower and upper bound of the duration of one task.
     """
 
     rank: StepRank
@@ -41,7 +41,7 @@
 
 
 def horizon_for(seconds: float) -> float:
-    """Return the first horizon that covers the time in seconds that a caller waits, or the last."""
+    """Return the first horizon that covers a waiting time in seconds, or the last if none does."""
     return HORIZONS_SECONDS[min(bisect_left(HORIZONS_SECONDS, seconds), len(HORIZONS_SECONDS) - 1)]
 
 
--- a/src/onyxspoke/core/placement/advice_dispatcher.py
+++ b/src/onyxspoke/core/placement/advice_dispatcher.py
@@ -69,7 +69,7 @@
         self.has_requeued_calls = False
 
     def set_advice_entries(self, names: list[str], now: float) -> None:
-        """Replace the entries that carry calls, the holder first; calls of removed entries fail."""
+        """Replace the entries, given the holder first; calls of removed entries fail."""
         self._entries.set_entries(names)
         for call in list(self._in_flight.values()):
             if self._entries.find(call.entry_name) is None:
--- a/src/onyxspoke/core/placement/advice_entries.py
+++ b/src/onyxspoke/core/placement/advice_entries.py
@@ -2,7 +2,7 @@
 
 The service handles one call per entry at a time, so each entry has at most two calls in flight: one
 that is handled and one that waits.  An entry that does not answer in time is suspected.  It gets no
-calls for a backoff that doubles each time, and then a single call as a probe.
+calls for a backoff that doubles each time, up to a limit, and then a single call as a probe.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 #: Lower limit, in seconds, of a margin that is derived from the lateness of earlier answers;
 #: ``OVERDUE_MARGIN_SECONDS`` is the upper limit.
 MINIMUM_OVERDUE_MARGIN_SECONDS = 0.08
-#: Such a margin is the average lateness plus this multiple of the mean deviation.
+#: A derived margin is the average lateness of answers plus this multiple of the mean deviation.
 TOLERATED_DEVIATIONS = 4.0
 #: Weight of the previous average when an answer updates the average lateness.
 LATENESS_HISTORY_WEIGHT = 0.9
@@ -40,8 +40,9 @@
 MAXIMUM_DOUBLINGS = 8
 #: Backoff, in seconds, while all entries are suspected.
 ALL_SUSPECTED_RETRY_SECONDS = 0.1
-#: An entry counts as slow above this multiple of the expected duration, and its measured slowness
-#: is capped at the second value, so that one very late answer does not dominate.
+#: Slowness is the duration of calls as a multiple of their expected duration.  An entry counts as
+#: slow above the first value.  A measured slowness is capped at the second value, so that one very
+#: late answer does not dominate.
 SLOW_ENTRY_FACTOR = 1.5
 MAXIMUM_ENTRY_SLOWNESS = 4.0
 #: Calls shorter than this, in seconds, are treated as this long when slowness is measured, so that
@@ -118,7 +119,8 @@
         #: Average lateness of answers, and the mean deviation from that average, in seconds.
         self._lateness = OVERDUE_MARGIN_SECONDS / TOLERATED_DEVIATIONS
         self._deviation = OVERDUE_MARGIN_SECONDS / TOLERATED_DEVIATIONS
-        #: Seconds of the longest call, by length and entitlement, that found no entry in this pass.
+        #: By length and entitlement: the duration in seconds of the longest call that found no
+        #: entry in this pass.
         self._longest_rejected: dict[tuple[CallLength, bool], float] = {}
 
     def set_entries(self, names: list[str]) -> None:
@@ -187,7 +189,7 @@
             self._restart_next_call(entry, now)
 
     def record_answer(self, call: AdviceCall, now: float) -> None:
-        """Update the slowness and the lateness of the service from an answered call."""
+        """Update the measured slowness and lateness from a call that was answered in time."""
         elapsed = max(0.0, now - call.started_at)
         self._service_slowness = elapsed / max(call.seconds, MAXIMUM_SHORT_CALL_SECONDS)
         self.record_slowness(call, now)
@@ -228,7 +230,7 @@
         return suspect_count
 
     def next_probe_at(self) -> float:
-        """Return when the first backoff of an entry ends; infinity if there are no entries."""
+        """Return the earliest end of any entry's backoff; infinity if there are no entries."""
         return min((entry.suspected_until for entry in self._by_name.values()), default=math.inf)
 
     def _choose_earliest_free(self, call: AdviceCall, now: float) -> AdviceEntry | None:
--- a/src/onyxspoke/core/placement/advice_forecast.py
+++ b/src/onyxspoke/core/placement/advice_forecast.py
@@ -47,7 +47,8 @@
         self._entitled_work = self._work_before[sum(call.rank.is_entitled for call in calls)]
         self._free_at = sorted(max(now, entry.free_at) for entry in reachable)
         self._free_at_sums = list(accumulate(self._free_at, initial=0.0))
-        #: Seconds of work that the earlier entries can take on before each entry becomes free.
+        #: For each entry: seconds of work that entries which are free earlier can take on before it
+        #: is free.
         self._work_until_free = [
             count * free_at - total
             for count, (free_at, total) in enumerate(
@@ -88,7 +89,7 @@
     Parameters
     ----------
     calls : list of AdviceCall
-        The queued calls; the call to make first comes first.
+        The queued calls, in the order in which they are to be made.
     """
 
     def __init__(self, calls: list[AdviceCall], entries: AdviceEntryPool, now: float) -> None:
--- a/src/onyxspoke/core/placement/advice_queue.py
+++ b/src/onyxspoke/core/placement/advice_queue.py
@@ -10,8 +10,8 @@
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, refreshed_rank
 
-#: The state of the queue is logged once per report interval, in seconds, while the oldest call has
-#: waited for at least ``REPORT_WAIT_SECONDS``.
+#: While the oldest call has waited for at least the first of these times, the state of the queue is
+#: logged, once per interval of the second.
 REPORT_WAIT_SECONDS = 0.5
 REPORT_INTERVAL_SECONDS = 1.0
 _DIGITS = 3
@@ -105,8 +105,8 @@
     def remove_unneeded(self, now: float) -> list[AdviceCall]:
         """Update the ranks, and remove and return the calls that are no longer needed.
 
-        A call is also removed when its job has expired.  The step requests advice again when there
-        is capacity left for expired jobs.
+        A call is also removed when its job expires while the call is queued.  The step requests
+        advice again when there is capacity left for expired jobs.
         """
         unneeded = [call for call in self._calls.values() if self._is_unneeded(call, now)]
         for call in unneeded:
@@ -120,7 +120,7 @@
     def report_if_long(self, now: float) -> list[dict[str, str | int | float]]:
         """Return the fields of a log event per job queue, if calls have waited for long.
 
-        The result is empty if the last report is recent.
+        The result is empty if no call has waited for long, or if the last report is recent.
         """
         oldest = min((call.requested_at for call in self._calls.values()), default=now)
         if now - oldest < REPORT_WAIT_SECONDS or now - self._reported_at < REPORT_INTERVAL_SECONDS:
--- a/src/onyxspoke/core/placement/advice_targets.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -2,7 +2,8 @@
 
 A call takes longer the more workers it names, and the service handles one call per entry at a
 time.  So a call names only as many workers as are likely to provide the capacity that the step
-needs.  Long calls would also queue behind the calls of gangs and starve the steps of other queues.
+needs.  When each call named about a hundred workers, the calls of one queue waited behind those of
+gangs, and in a cell of 299 workers the steps of that queue hardly ran at all.
 """
 
 from __future__ import annotations
@@ -118,7 +119,7 @@
     def renewal_targets_ahead(
         self, missing_tasks: int, advice: StepAdvice, now: float
     ) -> list[WorkerId]:
-        """Return the workers of ``renewal_targets``, and other approved workers.
+        """Return the workers of ``renewal_targets``, and other workers with expired tickets.
 
         The other workers may gain free capacity while the new tickets are valid.  The fixed cost
         dominates a call about a few workers.  So a step that waits for capacity renews the tickets
--- a/src/onyxspoke/core/placement/advice_timing.py
+++ b/src/onyxspoke/core/placement/advice_timing.py
@@ -1,4 +1,4 @@
-"""Decides whether a step requests advice now, or defers the request until capacity is near.
+"""Decides whether a step requests advice now, or waits until capacity is about to become free.
 
 A ticket is useful only if capacity becomes free before the ticket expires.  Without deferral, every
 step that is submitted to a full cell would request advice at once, and again when its turn comes.
@@ -131,7 +131,8 @@
     ) -> int:
         """Return the processors, in thousandths, expected for a step and the steps before it.
 
-        Only capacity that becomes free while the step's tickets are valid is counted.
+        For an entitled step, this includes capacity that becomes free while its tickets are valid;
+        for any other step, only capacity that is free when the answer arrives.
         """
         seconds = policy.call_seconds(_TYPICAL_WORKERS_PER_CALL)
         answer_at = now + seconds + self._advice_dispatcher.wait_seconds(seconds, rank, now)
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -6,10 +6,11 @@
 | its lease has expired, its entry is gone, and it was not draining | it crashed, or was cut off |
 | its lease has expired, and its entry is still listed | only the connection is cut; no crash |
 | it was draining, or its entry had gone while it still answered | a planned end; no crash |
-| the same incarnation answers again before that | a cut or a freeze; no crash |
+| the same incarnation answers again before its lease expires | a cut or a freeze; no crash |
 
-A worker that may only have been cut off is counted as crashed.  Another incarnation has another
-name, or another start time under the same name.
+An entry is the worker's entry in the directory.  A worker that may only have been cut off is
+counted as crashed.  Another incarnation has another name, or another start time under the same
+name.
 """
 
 from __future__ import annotations
--- a/src/onyxspoke/core/placement/capacity_seeker.py
+++ b/src/onyxspoke/core/placement/capacity_seeker.py
@@ -1,7 +1,7 @@
 """Reserve capacity, or choose runs to preempt, for steps whose tasks found no free capacity.
 
 Each step considers one worker at a time: the worker that is expected to have enough free capacity
-first.  Capacity that is free now or within a moment is reserved, so that later steps do not use
+first.  Capacity that is free now or will soon be free is reserved, so that later steps do not use
 it.  If no worker will have capacity soon, runs of lower-priority queues are preempted, but only
 once the step has a ticket that is still valid when the capacity becomes free.
 """
--- a/src/onyxspoke/core/placement/entry_partition.py
+++ b/src/onyxspoke/core/placement/entry_partition.py
@@ -23,15 +23,15 @@
 #: keeps busy.  At a utilization of a third, few calls find all of their entries busy.
 SHORT_HEADROOM = 3.0
 MEDIUM_HEADROOM = 2.0
-#: Calls of steps that are not entitled leave free this multiple of the entries that entitled calls
-#: of the same length keep busy.  They also use at most this share of the entries for their length,
-#: so that entitled calls find a free entry at once.
+#: Limits on calls of steps that are not entitled, so that entitled calls find a free entry at once.
+#: They leave this multiple of the entries that entitled calls of the same length keep busy, and use
+#: at most this share of the entries for their length.
 ENTITLED_HEADROOM = 1.5
 MAXIMUM_UNENTITLED_SHARE = 0.5
-#: Calls of steps that are not entitled keep one entry, unless entitled calls keep this share of the
-#: entries for their length busy.
+#: Calls of steps that are not entitled may use at least one entry, unless entitled calls keep this
+#: share of the entries for their length busy, or more.
 SATURATED_SHARE = 0.8
-#: Time constant of the load averages, and time before they are used, in seconds.
+#: Time constant of the load averages, and observation time before they are used, in seconds.
 LOAD_AVERAGE_SECONDS = 5.0
 
 
--- a/src/onyxspoke/core/placement/forecast.py
+++ b/src/onyxspoke/core/placement/forecast.py
@@ -11,7 +11,7 @@
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.workers import Worker
 
-#: Progress, in percent, from which it predicts the end of a run better than the estimate does.
+#: From this progress on, in percent, progress predicts the end of a run better than the estimate.
 RELIABLE_PROGRESS_PERCENT = 5
 _FULL_PERCENT = 100
 
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -27,8 +27,8 @@
 MIN_READY_MEMBER_SHARE = 0.6
 #: A ticket is renewed if it expires within this many seconds after the answer to a call.
 TICKET_RENEWAL_MARGIN_SECONDS = 0.1
-#: While a gang lacks most of its capacity, it asks about workers that became available only once
-#: in this many seconds, because no ticket can be renewed while the call is in progress.
+#: While a gang lacks much of its capacity, it asks about workers that it has not asked about yet at
+#: most once in this many seconds, because no ticket can be renewed while the call is in progress.
 UNKNOWN_WORKERS_INTERVAL_SECONDS = 3.0
 #: A gang that runs slower across racks waits for a single rack at most for this share of its
 #: estimated duration.
@@ -339,7 +339,7 @@
 
     The first call covers all workers, because a gang needs free capacity on many suitable workers
     at the same moment.  Later calls cover only workers with free capacity: workers that were not
-    asked about yet while the gang lacks slots, and, once most of its slots are there, suitable
+    asked about yet while the gang lacks slots, and, once it has most of its slots, suitable
     workers whose tickets are about to expire.
     """
     member_count = len(step.tasks)
--- a/src/onyxspoke/core/placement/health.py
+++ b/src/onyxspoke/core/placement/health.py
@@ -7,15 +7,16 @@
 
 from onyxspoke.core.jobs.model import JobId
 
-#: A worker is avoided once runs of this many different jobs failed on it without a success between.
+#: A worker is avoided once runs of this many different jobs failed on it without a success in
+#: between.
 FAILURES_TO_AVOID = 2
-#: For this many seconds after a single failure other workers are preferred.
+#: For this many seconds after a failure, other workers are preferred.
 SUSPICION_SECONDS = 2.0
-#: How long a worker is avoided, at first and at most; the time doubles with each repetition.
+#: How long, in seconds, a worker is avoided at first and at most; the time doubles each time.
 FIRST_AVOID_SECONDS = 1.5
 LONGEST_AVOID_SECONDS = 6.0
-#: The trial of a worker ends this many seconds after the worker was last avoided, even if nothing
-#: was started on it in the meantime.
+#: A worker that is no longer avoided is on trial for this many seconds, unless a run succeeds on it
+#: earlier.  The trial ends even if nothing was started on the worker.
 TRIAL_SECONDS = 3.0
 
 
--- a/src/onyxspoke/core/placement/pacing.py
+++ b/src/onyxspoke/core/placement/pacing.py
@@ -17,7 +17,7 @@
 RAISE_BELOW_SHARE = 0.6
 RAISE_STEP_PERCENT = 10
 #: A change of the pace shows in the latencies that the worker reports after this many seconds, so
-#: the pace is not cut again earlier.
+#: the pace is not cut again before then.
 CUT_INTERVAL_SECONDS = 0.7
 #: The shortest time between a change of the pace and a raise, in seconds.
 RAISE_INTERVAL_SECONDS = 0.8
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -31,7 +31,7 @@
 from onyxspoke.core.placement.workers import Worker
 from onyxspoke.core.tenants.quota_usage import QuotaBudget
 
-#: The largest number of tasks placed in one pass, which bounds the duration of a pass.
+#: A pass ends once it has placed at least this many tasks, which bounds its duration.
 MAXIMUM_PLACEMENTS = 200
 #: A step that waits for capacity is evaluated again after this many seconds.
 REEVALUATION_SECONDS = 0.2
@@ -49,8 +49,8 @@
 class Placer:
     """Places waiting tasks in the order of ``queue_order``.
 
-    A step that found no free capacity is evaluated again only when a worker that it may use has
-    gained capacity since: a pass therefore costs little, however long the waiting queue is.  A
+    A step that found no free capacity is evaluated again when a worker that it may use has gained
+    capacity, and otherwise only at intervals, so that a pass over a long queue costs little.  A
     waiting gang reserves the capacity that it could use, so that steps behind it do not use it.
     """
 
@@ -89,7 +89,7 @@
         return preemption_requests
 
     def take_overlooked(self) -> list[StepProgress]:
-        """Return the steps that only the sweep found startable since the last call."""
+        """Return the steps that only the sweep found able to start, since the last call."""
         overlooked, self._overlooked = self._overlooked, []
         return overlooked
 
@@ -332,7 +332,7 @@
 
 
 def _tasks_within_quota(step: StepProgress, quotas: QuotaBudget) -> int:
-    """Return how many waiting tasks of a step its tenant may start; of a gang all, or none."""
+    """Return how many waiting tasks of a step its tenant may start; for a gang, all or none."""
     tenant = step.job.spec.tenant
     if not tenant:
         return len(step.waiting)
--- a/src/onyxspoke/core/placement/queue_order.py
+++ b/src/onyxspoke/core/placement/queue_order.py
@@ -1,10 +1,11 @@
 """The order in which waiting steps are placed, and in which advice is requested for them.
 
-Steps of expired jobs come last in every queue: nobody waits for their results any more, and
-while others wait, placing them would only make those late.  Before them come jobs that their
-tenants submitted over their fair share, and first come jobs within it.  Within each of these
-groups the queue's priority decides.  Within one queue, steps whose jobs can still meet their
-objective come first, ordered by their latest start; steps of jobs that can only be late follow.
+Steps are placed in three groups: first the steps of jobs within their tenant's fair share, then
+those of jobs that were over it when they were submitted, and last those of expired jobs.  Nobody
+waits for the result of an expired job any more, and placing its steps earlier would only make
+other jobs late.  Within each group, the queue's priority decides.  Within one queue, steps whose
+jobs can still meet their objective come first, and steps of late jobs follow; both are ordered by
+their latest start.
 """
 
 from __future__ import annotations
@@ -64,8 +65,7 @@
     job = step.job
     objective_seconds = job.expected_objective_seconds
     # This equals ``step.expected_remaining_path_seconds``.  It is computed here to save a call,
-    # because
-    # every pass ranks every waiting step.
+    # because every pass ranks every waiting step.
     remaining_path_seconds = step.remaining_path_seconds * job.work.factor
     latest_start = step.due_at + objective_seconds - remaining_path_seconds
     lateness = _lateness(step, objective_seconds, remaining_path_seconds, now)
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -1,8 +1,8 @@
 """Reservations of free capacity for waiting gangs and steps.
 
-A gang starts only when every member has free capacity.  Without reservations smaller tasks would
+A gang starts only when every member has free capacity.  Without reservations, smaller tasks would
 start ahead of it again and again, and a large gang would wait for as long as the cell is busy.
-Each time a step is evaluated its reservation is recomputed; passes that skip the step repeat the
+Each time a step is evaluated, its reservation is recomputed; passes that skip the step repeat the
 same reservation.
 """
 
@@ -87,7 +87,10 @@
             self.release(key)
 
     def may_reserve_more(self, total_processors_milli: int) -> bool:
-        """Return whether one more step may reserve capacity in a service of this size."""
+        """Return whether one more step may reserve capacity in a service of this size.
+
+        The reservations in all services are counted.
+        """
         reserved_milli = sum(
             reservation.processors_milli for reservation in self._reservations.values()
         )
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from onyxspoke.core.placement.workers import Worker
 
-#: A run has stalled once it made no progress for this many seconds plus this share of its expected
-#: duration.
+#: A run has stalled once it has made no progress for this many seconds plus this share of its
+#: expected duration.
 STALL_SECONDS = 1.6
 STALL_ESTIMATE_SHARE = 0.2
 #: Additional seconds that a gang may take until its members report their first progress.
@@ -59,7 +59,7 @@
 
 
 class Run:
-    """One execution of a task on a worker; it holds the worker's capacity until it has ended.
+    """One execution of a task on a worker; it holds capacity of the worker until it has ended.
 
     Attributes
     ----------
@@ -153,7 +153,7 @@
 
     @property
     def expected_seconds(self) -> float:
-        """The expected duration of the whole task on its worker; of a gang, its slowest member."""
+        """The expected duration of the whole task; for a gang, on the slowest of its workers."""
         if self.gang is None:
             factor = self.worker.speed.factor
         else:
--- a/src/onyxspoke/core/placement/step_advice.py
+++ b/src/onyxspoke/core/placement/step_advice.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.shard.orders import AdviceResult
 
 _MILLISECONDS = 1_000.0
-#: A ticket is not used in the last seconds of its validity.
+#: A ticket is not used during the last part of its validity, of this many seconds.
 TICKET_MARGIN_SECONDS = 0.08
 #: Weight of the previous totals when an answer updates an approval rate.
 APPROVAL_HISTORY_WEIGHT = 0.95
@@ -70,7 +70,7 @@
 
     @property
     def value(self) -> float:
-        """The share of queried workers that were approved, from 0 to 1."""
+        """The share of queried workers that were approved, at least ``MINIMUM_APPROVAL_RATE``."""
         return max(self.approved_count / self.queried_count, MINIMUM_APPROVAL_RATE)
 
     def add_answer(self, call: AdviceCall, result: AdviceResult) -> None:
--- a/src/onyxspoke/core/placement/unconfirmed_usage.py
+++ b/src/onyxspoke/core/placement/unconfirmed_usage.py
@@ -19,7 +19,7 @@
 def find_doubts(
     tasks: Iterable[TaskProgress], unreported_workers: list[Worker]
 ) -> dict[TenantName, ResourceVector]:
-    """Return the resources that each tenant may use on workers that have not reported their runs.
+    """Return the resources that tenants may be using on workers that have not reported their runs.
 
     Parameters
     ----------
--- a/src/onyxspoke/core/placement/worker_speed_preference.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -1,4 +1,4 @@
-"""Prefer workers for a step by their speed, so that fast workers serve the steps short of time."""
+"""Prefer workers by their speed, so that fast workers are left to steps that lack time."""
 
 from __future__ import annotations
 
@@ -20,10 +20,8 @@
     """The speed components of a worker's score; the lowest is best.
 
     ``lateness_penalty`` is 0 if the job can meet its objective on the worker; otherwise it is
-    higher for
-    slower workers.  ``fast_worker_penalty`` is higher for faster workers on which the job meets its
-    objective,
-    so that steps with slack leave the fast workers to others.
+    higher for slower workers.  ``fast_worker_penalty`` is higher for faster workers on which the
+    job meets its objective, so that steps with slack leave the fast workers to other steps.
     """
 
     lateness_penalty: int
--- a/src/onyxspoke/core/placement/workers.py
+++ b/src/onyxspoke/core/placement/workers.py
@@ -18,8 +18,8 @@
 #: The largest number of ended runs remembered for each worker.
 MAX_ENDED_RUNS = 400
 #: The largest number of start times remembered for the previous incarnations of a worker name.  An
-#: entry of the directory may be out of date by seconds, and no worker restarts more often in that
-#: time.
+#: entry of the directory may be out of date by seconds; in that time no worker restarts more often
+#: than this.
 MAX_PREVIOUS_STARTS = 8
 
 
@@ -27,10 +27,8 @@
     """What the holder knows about the runs on a worker.
 
     ``UNRECONCILED``: the worker may run anything.  ``RECONCILED``: the worker has answered under
-    this
-    holder's token, and every run on it is known.  ``UNRESPONSIVE``: its runs were known, but it no
-    longer
-    answers.  ``ENDED``: the incarnation has ended, and all its runs with it.
+    this holder's token, and every run on it is known.  ``UNRESPONSIVE``: its runs were known, but
+    it no longer answers.  ``ENDED``: the incarnation has ended, and all its runs with it.
     """
 
     UNRECONCILED = "unsettled"
@@ -68,7 +66,7 @@
         The start times of ended incarnations of this name, the latest last; directory entries with
         one of them are out of date.
     missing_entry_grace_until : float
-        Until when the directory entry, which vanished while the store was unreachable, may come
+        Time until which a directory entry that vanished while the store was unreachable may come
         back; 0 if the entry did not vanish.
     earliest_exit_at : float
         The earliest time, in the holder's seconds, at which a draining worker stops.
@@ -77,7 +75,7 @@
     health : WorkerHealth
         The health derived from the worker's runs; a worker on trial gets one run at a time.
     speed : WorkerSpeed
-        How long the worker takes for its work, compared with other workers.
+        How long the worker takes for the same work, compared with other workers.
     orphan_runs : dict of RunKey to float
         Runs on the worker that belong to no task of the shard, with the time when their stop was
         sent.  They use an unknown amount of capacity, so no other run is started beside them.
