--- a/src/onyxspoke/core/admission/decider.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -6,9 +6,10 @@
 admitted whatever waits, because a result on time is worth more than a late one.  Any other job is
 refused if it would make an admitted late job of the same rank class expire.
 
-Three kinds of job are exempt from these rules.  A job without an end or an objective is always
-admitted.  A job that needs more than its tenant's whole quota is refused.  A job that would be
-refused is admitted if free workers could run it now and its advice arrives in time.
+A job without an end or an objective is always admitted.  Any other job is refused if it needs more
+than its tenant's whole quota, and admitted if the capacity of its service is unknown.  A job that
+these rules would refuse for another reason is admitted all the same if free workers could run it
+now and advice for it arrives in time.
 """
 
 from __future__ import annotations
@@ -79,7 +80,7 @@
     is_uncertain = verdict.reason is RefusalReason.IN_DOUBT
     if is_uncertain and not job.rank.is_over_share:
         return verdict.retry_after_seconds
-    # The job's own width is left out: narrower jobs of the queue may still be admitted.
+    # The work of the job itself is left out: smaller jobs of the queue may still be admitted.
     delay, duration_seconds = inputs.start_delay_seconds, job.chain_median_seconds
     if is_uncertain:
         delay, duration_seconds = inputs.start_delay_upper_seconds, job.chain_upper_seconds
--- a/src/onyxspoke/core/admission/resource_pool.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -116,7 +116,7 @@
         worst_case_curve = self._capacity_curve(rank.priority)
         smallest_task_share = self._smallest_task_share(job)
         arrival_rate = self._arrival_rate_before(rank_class_of(rank))
-        # When the last task ahead starts, the running tasks are half finished on average.
+        # When the last task before the job starts, running tasks are half finished on average.
         best_seconds = best_case_curve.seconds_until(work_ahead.low) - work_ahead.task_seconds / 2.0
         earliest_seconds = best_case_curve.seconds_until_free(
             min(smallest_task_share, self.best_case_capacity_factor)
@@ -135,7 +135,7 @@
         return min(shares, default=0.0)
 
     def share_left_for(self, rank: StepRank) -> float:
-        """Return the share of the capacity that arrivals of earlier rank leave for a job."""
+        """Return the share of the capacity that arrivals of earlier ranks leave for a rank."""
         return 1.0 - min(MAX_ARRIVAL_SHARE, self._arrival_rate_before(rank_class_of(rank)))
 
     def _arrival_rate_before(self, rank_class: RankClass) -> float:
--- a/src/onyxspoke/core/placement/advice_dispatcher.py
+++ b/src/onyxspoke/core/placement/advice_dispatcher.py
@@ -108,7 +108,7 @@
         rank: StepRank,
         now: float,
     ) -> None:
-        """Queue calls about a step, unless the step has open calls; the lowest rank goes first."""
+        """Queue calls about a step, unless some are open or one failed a moment ago."""
         advice = self.advice_for(step)
         if advice.has_open_calls or now < advice.retry_at or not worker_ids:
             return
--- a/src/onyxspoke/core/placement/advice_log_events.py
+++ b/src/onyxspoke/core/placement/advice_log_events.py
@@ -21,7 +21,7 @@
 def entry_suspected(
     entry: AdviceEntry, reason: str, requeued_count: int, now: float
 ) -> AdviceLogEvent:
-    """Return the event that an entry is suspected, and how many of its calls were requeued."""
+    """Return the event for a suspected entry, with the number of its calls that were requeued."""
     fields: dict[str, str | int | float] = {
         "advisor": entry.name,
         "reason": reason,
@@ -34,7 +34,7 @@
 
 
 def entry_recovered(entry: AdviceEntry, suspect_count: int, now: float) -> AdviceLogEvent:
-    """Return the event that a suspected entry answers again."""
+    """Return the event for a suspected entry that answers again."""
     fields: dict[str, str | int | float] = {
         "advisor": entry.name,
         "doubts": suspect_count,
@@ -45,7 +45,7 @@
 
 
 def step_deferred(step: StepKey, queued_before_milli: int, capacity_milli: int) -> AdviceLogEvent:
-    """Return the event that a step defers its request, because earlier steps need the capacity."""
+    """Return the event for a step that defers its request because earlier steps need capacity."""
     fields: dict[str, str | int | float] = {
         "step": step.name,
         "ahead_cpu": queued_before_milli,
--- a/src/onyxspoke/core/placement/advice_queue.py
+++ b/src/onyxspoke/core/placement/advice_queue.py
@@ -10,9 +10,9 @@
 from onyxspoke.core.jobs.progress import StepProgress
 from onyxspoke.core.placement.queue_order import StepRank, lateness_changes_at, refreshed_rank
 
-#: While the oldest call has waited for at least the first of these times, the state of the queue is
-#: logged, once per interval of the second.
+#: The state of the queue is logged while the oldest call has waited for at least this many seconds.
 REPORT_WAIT_SECONDS = 0.5
+#: Interval between two such log events, in seconds.
 REPORT_INTERVAL_SECONDS = 1.0
 _DIGITS = 3
 
--- a/src/onyxspoke/core/placement/blame.py
+++ b/src/onyxspoke/core/placement/blame.py
@@ -48,7 +48,7 @@
 
 
 def has_crashed(worker: Worker, reason: IncarnationEndReason) -> bool:
-    """Return whether a worker whose incarnation has ended went down unplanned, as far as known."""
+    """Return whether a worker whose incarnation has ended counts as crashed."""
     last_listing = worker.listing_at_last_answer
     was_draining = WorkerListing.DRAINING in (worker.listing, last_listing)
     if was_draining or last_listing is WorkerListing.GONE:
--- a/src/onyxspoke/core/placement/entry_partition.py
+++ b/src/onyxspoke/core/placement/entry_partition.py
@@ -95,7 +95,7 @@
         return self._entitled[length].average_at(now)
 
     def spare_entries(self, length: CallLength, count: int, now: float) -> int:
-        """Return how many entries may carry calls of steps that are not entitled at one time.
+        """Return how many entries may at one time carry calls of steps that are not entitled.
 
         Parameters
         ----------
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -77,7 +77,7 @@
         #: The earliest time of the next evaluation of each gang without a reservation.
         self._gang_reevaluate_at: dict[StepKey, float] = {}
         self._overlooked: list[StepProgress] = []
-        #: Steps that their tenants' quotas began to hold back since the last call.
+        #: Steps that began to wait for their tenants' quotas since the last call.
         self._newly_over_quota: list[StepProgress] = []
 
     def take_preemption_requests(self) -> list[PreemptionRequest]:
@@ -89,12 +89,12 @@
         return preemption_requests
 
     def take_overlooked(self) -> list[StepProgress]:
-        """Return the steps that only the sweep found able to start, since the last call."""
+        """Return the steps, since the last call, that only the sweep started."""
         overlooked, self._overlooked = self._overlooked, []
         return overlooked
 
     def take_newly_over_quota(self) -> list[StepProgress]:
-        """Return the steps that their tenants' quotas began to hold back since the last call."""
+        """Return the steps that began to wait for their tenants' quotas since the last call."""
         steps, self._newly_over_quota = self._newly_over_quota, []
         return steps
 
@@ -362,7 +362,7 @@
     now: float,
     advice_dispatcher: AdviceDispatcher,
 ) -> list[str]:
-    """Return the workers for which tickets are missing that would let ``max_tasks`` tasks start."""
+    """Return the workers to ask about, so that ``max_tasks`` tasks can start with their tickets."""
     if not advice.tickets:
         return target_selector.first_targets(max_tasks, advice)
     missing_count = max_tasks - sum(target_selector.free_slots(item.worker) for item in candidates)
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -53,7 +53,7 @@
         return key in self._reservations
 
     def reserved_since(self, key: StepKey) -> float | None:
-        """Return since when a step has had a reservation, or ``None`` if it has none."""
+        """Return when a step's reservation began, or ``None`` if it has none."""
         reservation = self._reservations.get(key)
         return None if reservation is None else reservation.since
 
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -1,4 +1,4 @@
-"""Runs of tasks on workers, single runs and the runs of gangs."""
+"""Runs of tasks on workers: single runs, and the runs of gangs."""
 
 from __future__ import annotations
 
--- a/src/onyxspoke/core/placement/scratch_capacity.py
+++ b/src/onyxspoke/core/placement/scratch_capacity.py
@@ -23,7 +23,7 @@
         return worker.worker_id in self._taken
 
     def take_all(self, worker: Worker) -> None:
-        """Use all capacity of a worker, so that the pass places nothing more on it."""
+        """Count all capacity of a worker as used, so that the pass places nothing more on it."""
         self._taken[worker.worker_id] = worker.record.capacity
 
     def fits(self, worker: Worker, needs: ResourceVector) -> bool:
@@ -64,6 +64,6 @@
         return worker.free_processors - (taken.processors_milli if taken else 0)
 
     def take(self, worker: Worker, needs: ResourceVector, count: int = 1) -> None:
-        """Use capacity of a worker for ``count`` tasks."""
+        """Count the capacity for ``count`` tasks on a worker as used."""
         taken = self._taken.get(worker.worker_id, ResourceVector())
         self._taken[worker.worker_id] = add_vectors(taken, scale_vector(needs, count))
--- a/src/onyxspoke/core/placement/worker_speed_preference.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -55,7 +55,7 @@
 def speed_preference(
     step: StepProgress, workers: Iterable[Worker], is_on: bool, now: float
 ) -> SpeedPreference | None:
-    """Return the speed preference of a step, or ``None`` if all workers count as equally fast."""
+    """Return the speed preference of a step, or ``None`` if worker speeds do not matter for it."""
     if not is_on or step.spec.long_running or all(worker.speed.factor == 1.0 for worker in workers):
         return None
     return SpeedPreference(step, now)
