--- a/src/onyxspoke/core/jobs/crashes.py
+++ b/src/onyxspoke/core/jobs/crashes.py
@@ -17,9 +17,9 @@
 #: Limit on crashes of workers that are known to have run the task, at any time during the run.
 #: This bounds the damage of a task that crashes its workers long after the start.
 CONFIRMED_CRASH_LIMIT = 4
-#: Limit on crashes of workers that may have run the task. An unanswered start order may have
-#: arrived too late, and an order of a previous holder may never have been sent. These crashes don't
-#: count as confirmed, because the worker may have been down before the order arrived.
+#: Limit on crashes of workers that may have run the task, confirmed or not. An unanswered start
+#: order may have arrived too late, and an order of a previous holder may never have been sent. The
+#: crash then isn't confirmed, because the worker may have been down before the order arrived.
 TOTAL_CRASH_LIMIT = 5
 #: A task starts in isolation once this many workers that may have run it have crashed.
 TOTAL_CRASHES_TO_ISOLATE = 2
--- a/src/onyxspoke/core/jobs/job_registry.py
+++ b/src/onyxspoke/core/jobs/job_registry.py
@@ -230,7 +230,7 @@
                     self._requeue_in_doubt(step, now)
 
     def mark_committed(self, job: JobProgress, state: JobState) -> None:
-        """Handle the commit of a job in this state; tasks may be started after the first commit."""
+        """Record the committed state of a job; tasks may be started after the first commit."""
         is_first = job.committed_state is None
         job.committed_state = state
         if state.is_final:
@@ -242,7 +242,7 @@
     # Tasks
 
     def task_activated(self, task: TaskProgress) -> None:
-        """Handle that a run of a task was planned, or was found on a worker."""
+        """Mark a task as active: a run of it was planned, or was found on a worker."""
         task.move_to(TaskState.ACTIVE)
         self._update_startable(task.step)
 
@@ -265,7 +265,7 @@
         self._update_startable(task.step)
 
     def task_done(self, task: TaskProgress, now: float) -> None:
-        """Handle that a run of a task completed successfully."""
+        """Mark a task as done after a run completed successfully."""
         if task.state is TaskState.DONE:
             return
         task.move_to(TaskState.DONE)
@@ -277,7 +277,7 @@
             self._finish_if_done(step.job, now)
 
     def task_failed(self, task: TaskProgress, number: int, now: float) -> None:
-        """Handle that a run of a task failed; the job fails with the last allowed attempt."""
+        """Count a failed run of a task; the job fails with its last allowed attempt."""
         step = task.step
         failed_run_numbers = step.failed_gang_runs if step.spec.gang else task.failed_runs
         if number in failed_run_numbers or step.spec.long_running:
--- a/src/onyxspoke/core/jobs/policy.py
+++ b/src/onyxspoke/core/jobs/policy.py
@@ -33,7 +33,7 @@
     tenants: dict[TenantName, TenantPolicy] = {}
 
     def queue_of(self, job: JobSpec) -> QueuePolicy:
-        """Return the current policy of a job's queue, or the job's copy if the queue is removed."""
+        """Return the policy of a job's queue; if the queue was removed, return the job's copy."""
         return self.queues.get(job.queue.name, job.queue)
 
     def highest_priority(self, service: str) -> int | None:
--- a/src/onyxspoke/core/jobs/progress.py
+++ b/src/onyxspoke/core/jobs/progress.py
@@ -90,8 +90,8 @@
     unfinished_dependencies : int
         Number of steps that this step depends on and that are not done yet.
     ready_at : float
-        When the last dependency was done or a task returned from in doubt to waiting, in
-        seconds of the local clock.
+        When the last dependency was done, or when a task that was in doubt became waiting again,
+        in seconds of the local clock.
     failed_gang_runs : list of int
         Numbers of the gang runs in which a member failed.
     last_run_number : int
@@ -101,8 +101,8 @@
     remaining_path_seconds : float
         Estimated duration of the longest path of dependent steps from this step to the job's end.
     over_quota_since : float or None
-        Since when the tenant's exhausted quota has kept tasks from starting; ``None`` if it does
-        not.
+        Time from which the tenant's exhausted quota has kept tasks from starting; ``None`` if the
+        quota does not limit the step now.
     over_quota_seconds : float
         Total duration of the earlier periods in which the quota kept tasks from starting.
     last_crash_at : float
@@ -152,7 +152,7 @@
         self.remaining_path_seconds = remaining_path_seconds
         self.key = key
         self.spec = spec
-        #: A cached copy of ``spec.needs``, which is computed at each use; placement reads it often.
+        #: Cached, because ``spec.needs`` is computed at each access and placement reads it often.
         self.needs = spec.needs
         self.tasks = [TaskProgress(self, index) for index in range(spec.task_count)]
         self.waiting: dict[int, None] = dict.fromkeys(range(spec.task_count))
@@ -330,7 +330,7 @@
             self.final_at = now
 
     def discard_details(self) -> None:
-        """Discard the steps and payload of a final job; runs being stopped keep their own steps."""
+        """Discard the steps and payload of a final job; runs that are being stopped keep theirs."""
         self.repetitions = {}
         spec = self.spec
         self.spec = JobSpec(
--- a/src/onyxspoke/core/jobs/records.py
+++ b/src/onyxspoke/core/jobs/records.py
@@ -1,7 +1,7 @@
 """The records of a job in the store, and their encoding.
 
-The specification record of a job is written once. The progress record is rewritten whenever
-progress that must survive a change of holder is made.  Both are msgpack arrays.
+The specification record of a job is written once. The progress record is rewritten after
+each change that must survive a change of holder.  Both are msgpack arrays.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 class StepRecord(msgspec.Struct, array_like=True):
     """The recorded progress of one step: done tasks, and failed runs and checkpoints by task index.
 
-    ``placed`` maps each worker to a bitmap of the tasks that the worker may have a run of. A task
+    ``placed`` maps each worker to a bitmap of the tasks that it may be running. A task
     is recorded here before its start is ordered, so that a new holder knows which tasks an
     unresponsive worker may run.  ``crashes`` maps task indexes to crash tallies.  The record that
     adds a crash also removes the task's placement, so that a new holder counts each crash once.
--- a/src/onyxspoke/core/jobs/states.py
+++ b/src/onyxspoke/core/jobs/states.py
@@ -74,7 +74,7 @@
 }
 
 RUN_TRANSITIONS: dict[RunState, frozenset[RunState]] = {
-    # A run that is found on a worker, having been ordered by a previous holder, skips STARTING.
+    # A run that a previous holder ordered and that is found on a worker skips STARTING.
     RunState.PLANNED: frozenset({RunState.STARTING, RunState.RUNNING, RunState.ENDED}),
     RunState.STARTING: frozenset(RunState) - {RunState.PLANNED, RunState.STARTING},
     RunState.UNCERTAIN: frozenset({RunState.RUNNING, RunState.STOPPING, RunState.ENDED}),
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -125,7 +125,7 @@
 
 
 class JobStarted(msgspec.Struct, frozen=True):
-    """Count a job in the metrics once a worker has received its first run."""
+    """Count a job in the metrics when a worker confirms a run of the job for the first time."""
 
     queue: str
     tenant: str
@@ -133,7 +133,7 @@
 
 
 class ReturnOutcome(Enum):
-    """Outcome of a refused caller's repeated submission."""
+    """Outcome of submitting a job again after a refusal."""
 
     ON_TIME = "on_time"
     EARLY_OR_LATE = "early_or_late"
@@ -148,7 +148,7 @@
 
 
 class AdviceRequested(msgspec.Struct, frozen=True):
-    """Count in the metrics a call that left the advice queue after a number of seconds."""
+    """Count in the metrics an advice call that was sent; ``seconds`` is its time in the queue."""
 
     queue: str
     tenant: str
--- a/src/onyxspoke/core/shard/admission_controller.py
+++ b/src/onyxspoke/core/shard/admission_controller.py
@@ -35,14 +35,15 @@
 
 #: Minimum interval between two computations of the load view; the scheduler's round is as long.
 MINIMUM_VIEW_INTERVAL_SECONDS = 0.05
-#: Added to that interval for each waiting step, run and refused job, because computing the view
-#: takes longer the more of them there are.
+#: Added to the minimum interval for each waiting step, run and refused job, because the time to
+#: compute the load view grows with their number.
 VIEW_INTERVAL_SECONDS_PER_ITEM = 0.0001
 #: Interval between two checks whether closed queues can be reopened.
 REOPEN_CHECK_INTERVAL_SECONDS = 1.0
 #: Work assumed for a job while the capacity of its service is unknown, in share-seconds.
 DEFAULT_WORK_SHARE_SECONDS = 0.02
-#: While the store is unreachable, the retry of a less urgent job is delayed by this per class.
+#: Additional delay of retries while the store is unreachable.  It applies once to a job that is not
+#: urgent, and twice if the job is over its tenant's fair share.
 RETRY_DELAY_SECONDS_PER_CLASS = 1.0
 _HASH_RANGE = float(1 << 64)
 _MILLISECONDS = 1_000.0
@@ -157,7 +158,7 @@
             )
 
     def summary(self, now: float) -> AdmissionSummary | None:
-        """Return the queues that are closed, or None while the load is unknown."""
+        """Return the closed queues, or None if the load is unknown or admission control is off."""
         if not self.is_enabled or not self._is_load_known:
             return None
         return AdmissionSummary(token=self._context.token, notices=self._closures.notices(now))
@@ -165,8 +166,8 @@
     def _reopen_closures(self, now: float) -> None:
         """Reopen a closed scope if the job that was refused there last would now be admitted.
 
-        Such a job may never be submitted again, and entries that lose the holder keep refusing by
-        its last summary.
+        The caller may never submit that job again.  An entry that loses contact with the holder
+        keeps refusing jobs according to the holder's last summary.
         """
         if now < self._next_reopen_check_at:
             return
@@ -187,7 +188,8 @@
             work = pool.work_estimate_within(job, DECAY_SECONDS).high
             self._arrivals.record_arrival(job.service, job.rank, work, now)
         if job.is_timely_retry:
-            # Timely retries go before new jobs, so the admission of one says nothing about those.
+            # A timely retry has precedence, so its admission does not show that the queue would
+            # admit a new job.
             return
         self._closures.note_admitted(ClosureScope(job.queue, ""), now)
         if job.rank.is_over_share:
@@ -306,7 +308,7 @@
     def _record_closure(
         self, spec: JobSpec, job: SubmittedJob, verdict: Refuse, view: LoadView, now: float
     ) -> None:
-        """Record for how long jobs like a refused one will be refused, too."""
+        """Record for how long jobs similar to a refused job will also be refused."""
         seconds = closed_seconds(job, verdict)
         if seconds <= 0.0:
             return
--- a/src/onyxspoke/core/shard/call_handler.py
+++ b/src/onyxspoke/core/shard/call_handler.py
@@ -1,9 +1,9 @@
 """Handling of client calls at a shard's holder.
 
 A call that changes state is answered once its record is committed.  While the store does not
-answer, the holder accepts no new jobs.  It refuses each job that is not part of any sent append,
-and answers cancels, and queries for jobs that it does not know, as unknown.  It sends both answers
-at once, so that the caller can retry elsewhere or later.
+answer, the holder accepts no new jobs.  It refuses each submitted job that no sent append contains.
+To a cancel, and to a query about a job without a committed state, it replies ``UNKNOWN``.  It does
+not wait for the store before these replies, so that the caller can retry elsewhere or later.
 """
 
 from __future__ import annotations
@@ -33,7 +33,8 @@
 from onyxspoke.core.shard.run_manager import RunManager
 from onyxspoke.core.tenants.keys import may_access_job
 
-#: Calls that wait for an append are answered as unknown after this time without its answer.
+#: A cancel or query that waits for an append gets the reply ``UNKNOWN`` if the store has not
+#: answered the append for this long.
 STORE_SILENCE_SECONDS = 0.4
 #: Number of workers assumed when the duration of one advice call is derived from a queue's policy.
 ASSUMED_ADVICE_WORKERS = 30
@@ -70,7 +71,7 @@
         self._admission = admission
         #: Pending replies to submissions whose job is not part of any sent append.
         self._unsent_submissions: dict[int, _PendingReply] = {}
-        #: Pending replies that wait for an append, and are "unknown" if the store stays silent.
+        #: Pending replies that wait for an append; they are ``UNKNOWN`` if the store stays silent.
         self._awaiting_store: dict[int, _PendingReply] = {}
 
     def handle_call(self, call_id: int, call: Call, now: float) -> None:
@@ -148,11 +149,11 @@
     def _with_share_mark(
         self, spec: JobSpec, earlier_refusal: RefusedJob | None, now: float
     ) -> JobSpec:
-        """Return a new job with the mark whether it is within its tenant's fair share.
+        """Return a copy of a new job, marked as within or over its tenant's fair share.
 
-        A job that was refused before keeps the mark of its first submission until its last useful
-        time.  Otherwise the retries of jobs over the share would use up the share of the tenant's
-        later jobs.
+        A job that was refused before keeps the mark of its first submission until the job expires.
+        Otherwise the retries of jobs over the share would use up the share of the tenant's later
+        jobs.
         """
         context = self._context
         policy = context.policy.tenants.get(spec.tenant)
@@ -215,7 +216,7 @@
         register_effect: Callable[[Callable[[float], None]], None],
         now: float,
     ) -> None:
-        """Reply once the store has acknowledged an append, or "unknown" if the store is silent."""
+        """Reply once the store acknowledges an append; reply ``UNKNOWN`` if it is silent."""
         pending = _PendingReply(self._context, call_id, job_id)
         if self._is_store_silent(now):
             pending.answer(_unknown_reply(self._retry_seconds))
--- a/src/onyxspoke/core/shard/commit.py
+++ b/src/onyxspoke/core/shard/commit.py
@@ -23,19 +23,20 @@
 MINIMUM_COMMIT_INTERVAL_SECONDS = 0.012
 #: The holder renews its claim if it has sent no append for this long.
 CLAIM_RENEWAL_SECONDS = 0.25
-#: Pauses before a refused or unanswered append is sent again, by number of attempts.
+#: Pauses before a refused or unanswered append is sent again, by number of attempts; the last
+#: pause also applies to all further attempts.
 APPEND_RETRY_SECONDS = (0.02, 0.06, 0.12)
-#: Timeouts for an append's answer, by attempt, and the multiple of the latest call's duration
-#: that is the shortest timeout.
+#: Timeouts for the answers to successive attempts of an append, used in turn.  Each timeout is at
+#: least the factor below times the duration of the latest call.
 ANSWER_TIMEOUT_SECONDS = (0.2, 0.2, 0.5, 0.2, 0.2, 0.9)
 ANSWER_TIMEOUT_FACTOR = 3.0
 #: A duplicate of an unanswered append is sent after this multiple of the latest call's duration,
-#: and after this many seconds at least, because the first answer may be lost.  The store answers a
-#: duplicate as it answered the original.
+#: but not before the minimum delay below, because the first answer may be lost.  The store answers
+#: a duplicate as it answered the original.
 DUPLICATE_DELAY_FACTOR = 4.0
 MINIMUM_DUPLICATE_DELAY_SECONDS = 0.03
-#: Largest number of duplicates per attempt, and the fraction by which each duplicate's delay is
-#: longer than the delay of the one before.
+#: Largest number of duplicates per attempt, and the fraction of the first duplicate's delay by
+#: which the delay of each further duplicate grows.
 MAXIMUM_DUPLICATES = 5
 DUPLICATE_DELAY_GROWTH = 0.25
 MAXIMUM_BATCH_BYTES = 1_000_000
@@ -58,7 +59,7 @@
     effects: list[Effect]
     first_sent_at: float
     sent_at: float
-    #: When the store had acknowledged all earlier appends; infinity until then.
+    #: When the store acknowledged the last of the earlier appends; infinity until then.
     predecessors_acknowledged_at: float
     attempts: int = 1
     #: Calls for this append that have neither returned nor timed out.
@@ -112,8 +113,8 @@
     def after_commit(self, effect: Effect) -> None:
         """Run an effect once the store has acknowledged all changes made so far.
 
-        An effect that is registered while records are collected belongs to the append under
-        construction, even though no change is marked as dirty any more.
+        An effect that is registered while records are collected belongs to the append that is
+        being built, even if no change is marked as dirty any more.
         """
         is_sent = self._unacknowledged and not self._is_collecting and not self._effects
         if is_sent and not self.is_dirty():
@@ -170,7 +171,7 @@
     def handle_result(
         self, sequence: int, sent_at: float, result: AppendResult, now: float
     ) -> bool:
-        """Handle the result of one call for an append; return whether this node holds the shard.
+        """Handle the result of a call for an append; return whether this node may hold the shard.
 
         Results of duplicates may arrive after the append has been acknowledged; they are ignored.
 
@@ -206,7 +207,7 @@
         return now - max(self._last_sent_at, self.ownership_proven_at) >= CLAIM_RENEWAL_SECONDS
 
     def _next_new_append_at(self) -> float:
-        """Return when the next new append may be sent; infinity while it waits for an answer."""
+        """Return when a new append may be sent; infinity while the queue awaits an answer."""
         if not self._unacknowledged:
             return self._last_sent_at + self.interval_seconds
         if (
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -49,13 +49,14 @@
     hold_wait_ms : int
         Longest time for which a worker may delay its answer until a run ends.
     hold_interval_seconds : float
-        Pause between two holds to a worker, so that one hold reports ends close together.
+        Pause between two holds to a worker, so that one answer reports several ends that occur
+        close together.
     ownership_proof_seconds : float
         Time after the latest proof of ownership during which the holder may send orders.
     refusal_retry_seconds : float
         Time after which a refused caller is asked to retry.
     load : LoadOptions
-        Components that handle overload.
+        Options for the handling of overload.
     """
 
     maximum_hold_ms: int = 6_000
@@ -105,7 +106,7 @@
         self.actions: list[ShardAction] = []
         self.needs_placement = False
         self.has_stepped_down = False
-        #: Layout of a new cell that is not part of any append yet.
+        #: Layout of a new cell, until an append contains it; otherwise ``None``.
         self.uncommitted_layout: CellLayout | None = None
         #: Time until which no node can claim the shard, because no node reaches the store.
         self.unclaimable_until = 0.0
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -1,9 +1,9 @@
 """Leader election for one shard: nodes find, follow, monitor and replace the shard's holder.
 
 A node claims a shard with a conditional append to the shard's partition.  The store accepts the
-append only if the partition still ends where the claimant last read its end.  The epoch of the
-claim is that end plus one.  The epoch fences the writes of all earlier holders and is the fencing
-token of the new holder's orders; epochs are therefore unique and increasing.
+append only if the partition still ends at the offset that the claimant last read.  The epoch of
+the claim is that offset plus one; epochs are therefore unique and increasing.  The epoch fences the
+writes of all earlier holders, and is the fencing token of the new holder's orders.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 #: Small nodes delay their first claim by this time, so that larger nodes can claim before them.
 SMALL_NODE_DELAY_SECONDS = 0.1
 CLAIM_RETRY_SECONDS = 0.1
-#: After this many unanswered attempts a node stops sending its claim and reads the claim back.
+#: After this many unanswered or refused attempts to append its claim, a node reads the claim.
 MAXIMUM_CLAIM_ATTEMPTS = 8
 #: A follower suspects its holder after this time without a heartbeat, or after this many
 #: heartbeat intervals if they are longer.
--- a/src/onyxspoke/core/shard/evacuation.py
+++ b/src/onyxspoke/core/shard/evacuation.py
@@ -1,8 +1,9 @@
 """Stops runs on workers that are leaving, so that their tasks continue elsewhere.
 
-A run with checkpoints is stopped shortly before its worker leaves, because a stop loses none of its
-progress.  A run without checkpoints continues if it is expected to finish in time; otherwise it
-is stopped at once, because the sooner its task starts elsewhere, the less work is lost.
+A run of a long-running task is stopped at once.  Any other run continues if it is expected to
+finish in time.  Otherwise a run with checkpoints is stopped shortly before its worker leaves,
+because a stop loses none of its progress.  A run without checkpoints is stopped at once, because
+the sooner its task starts elsewhere, the less work is lost.
 """
 
 from __future__ import annotations
--- a/src/onyxspoke/core/shard/journal.py
+++ b/src/onyxspoke/core/shard/journal.py
@@ -97,7 +97,7 @@
         return records
 
     def _is_marker_due(self) -> bool:
-        """Return whether the marker that all starts are recorded is to be written now.
+        """Return whether the marker of starts is to be written now.
 
         If previous holders did not record their starts, the marker is due once recovery has
         found every run that they started and the records of those runs have been collected.
--- a/src/onyxspoke/core/shard/layout.py
+++ b/src/onyxspoke/core/shard/layout.py
@@ -42,7 +42,8 @@
     def shard_of_worker(self, record: WorkerRecord) -> ShardId:
         """Return the shard that manages a worker; all workers of a rack belong to one shard.
 
-        Racks with numbers are assigned to the shards in turn, so that each shard has about as many.
+        Racks whose names end in a number are assigned to the shards in turn, so that all shards
+        have about the same number of racks.
         """
         if not record.rack:
             return _stable_hash(record.machine or record.host) % self.shard_count
--- a/src/onyxspoke/core/shard/load_options.py
+++ b/src/onyxspoke/core/shard/load_options.py
@@ -20,8 +20,8 @@
         Place steps that are short of time on fast workers and others on slow ones, and gangs on
         workers of similar speed.
     summary_trust_seconds : float
-        For how long an entry that reaches no holder refuses jobs by the last holder's summary; 0:
-        never.
+        For how long an entry that reaches no holder refuses jobs according to the last holder's
+        summary; 0 means that it refuses none.
     """
 
     admission: bool = False
--- a/src/onyxspoke/core/shard/log_records.py
+++ b/src/onyxspoke/core/shard/log_records.py
@@ -8,12 +8,12 @@
 
 ShardId = int
 
-#: The keys of the claim and of the cell's layout sort after all other keys, so that a node can
-#: read these two records without the others.
+#: The keys of the claim, the cell's layout and the marker of starts sort after all other keys, so
+#: that a node can read these three records without the others.
 CLAIM_KEY = "~claim"
 LAYOUT_KEY = "~layout"
-#: Key of the marker that all starts are recorded before they are ordered; its value is the token
-#: of the latest holder that recorded them.
+#: Key of the marker of starts: it says that all starts are recorded before they are ordered.  Its
+#: value is the token of the latest holder that recorded them.
 STARTS_KEY = "~starts"
 #: Key of the latest holder's learned estimates of durations and worker speeds.
 ESTIMATES_KEY = "estimates"
@@ -54,8 +54,7 @@
 
     ``NOT_DONE``: the store refused the append and changed nothing.  ``UNKNOWN``: the store may
     have carried out the append, or may do so later.  ``END_MOVED``: the partition does not end at
-    the
-    expected offset.  ``FENCED``: the store has seen a higher epoch.  ``OUT_OF_SEQUENCE``: the
+    the expected offset.  ``FENCED``: the store has seen a higher epoch.  ``OUT_OF_SEQUENCE``: the
     sequence number is not the next one.  ``INVALID``: the store rejects the request as malformed.
     """
 
--- a/src/onyxspoke/core/shard/orders.py
+++ b/src/onyxspoke/core/shard/orders.py
@@ -15,9 +15,8 @@
 
     ``FENCED``: the worker has seen a higher token.  ``STALE``: the run's number is not higher than
     that of a run that was stopped or ended there.  ``EXPIRED``: the order arrived after its
-    validity had ended.  ``OTHER_INCARNATION``: another incarnation of the worker answered than the
-    one
-    that was addressed.  ``NO_ANSWER``: the order may have been executed, or may still be.
+    validity had ended.  ``OTHER_INCARNATION``: the incarnation that answered is not the one that
+    was addressed.  ``NO_ANSWER``: the order may have been executed, or may still be executed later.
     ``NOT_SENT``: the order never left this machine.
     """
 
--- a/src/onyxspoke/core/shard/pace_controller.py
+++ b/src/onyxspoke/core/shard/pace_controller.py
@@ -45,7 +45,7 @@
     def handle_pace_result(
         self, worker: Worker, key: RunKey, percent: int, is_acknowledged: bool
     ) -> None:
-        """Handle the result of a change of pace, which may be missing."""
+        """Handle a worker's answer to a pace order, or its absence."""
         run = worker.runs.get(key)
         if run is not None and is_acknowledged:
             run.pace_percent = percent
--- a/src/onyxspoke/core/shard/quota_coordinator.py
+++ b/src/onyxspoke/core/shard/quota_coordinator.py
@@ -19,8 +19,8 @@
 
     A tenant has one quota for the whole cell.  The tenant's home shard may use all of the quota
     except the amounts that it has lent to other shards.  Other shards request quota for their
-    waiting tasks.  The quota is not divided equally between the shards, because large gangs would
-    never fit into their shard's part.
+    waiting tasks.  The quota is not divided equally between the shards, because a large gang would
+    never fit into the part of its shard.
     """
 
     def __init__(self, context: ShardContext) -> None:
--- a/src/onyxspoke/core/shard/run_manager.py
+++ b/src/onyxspoke/core/shard/run_manager.py
@@ -83,7 +83,7 @@
     def handle_stop_result(
         self, worker: Worker, key: RunKey, result: OrderResult, now: float
     ) -> None:
-        """Handle the result of an order to stop, which may be missing."""
+        """Handle a worker's answer to a stop order, or its absence."""
         is_done = result.outcome in (OrderOutcome.DONE, OrderOutcome.STALE)
         if is_done and worker.unresolved_starts.pop(key, None) is not None:
             self._context.needs_placement = True
@@ -182,8 +182,8 @@
         for run, blame in blamed:
             self._record_crash(run.task, worker, blame, now)
         for task in tasks_in_doubt:
-            # Only the previous holder knew whether the task was ordered, and which other runs had
-            # just started.
+            # This holder does not know whether the previous one ordered the task's start, nor which
+            # other runs had just started.
             self._record_crash(task, worker, CrashBlame.UNCONFIRMED, now)
 
     def transfer_unconfirmed_starts(
@@ -191,10 +191,10 @@
     ) -> None:
         """Stop unconfirmed starts at the next incarnation, which may still execute them.
 
-        A start expires by the clock of the incarnation that it was sent to, which does not bind the
-        next one.  If the task started elsewhere before the next incarnation answered the stop, it
-        could run twice.  Starts of a previous holder need no stop: workers refuse its token from
-        our first poll on.
+        A start expires by the clock of the incarnation that it was sent to, but the next one may
+        have another clock.  If the task started elsewhere before the next incarnation answered the
+        stop, the task could run twice.  Starts of a previous holder need no stop: workers refuse
+        its token from our first poll on.
         """
         for run in list(worker.runs.values()):
             if run.state is not RunState.PLANNED and not run.confirmed_at:
@@ -204,7 +204,7 @@
         self._stop_unresolved_starts(next_incarnation, now)
 
     def _transfer_run(self, run: Run, next_incarnation: Worker, now: float) -> None:
-        """Move a run's reservation to the next incarnation until that answers the stop."""
+        """Move a run's reservation to the next incarnation, where it stays until the run ends."""
         run.worker.remove(run)
         run.worker = next_incarnation
         next_incarnation.add(run)
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -77,7 +77,7 @@
         return run
 
     def order_starts(self, runs: list[Run], now: float) -> None:
-        """Order starts that are recorded now; the starts of a gang are ordered all or none."""
+        """Order starts whose records are committed; for a gang, order either all starts or none."""
         startable = [run for run in runs if self._may_start(run, now)]
         withdrawn = [run for run in runs if run not in startable]
         if withdrawn and runs[0].gang is not None:
@@ -90,7 +90,7 @@
             self._send_start(run, now)
 
     def _may_start(self, run: Run, now: float) -> bool:
-        """Return whether a planned run may still be started."""
+        """Return whether a run is still planned and may be started now."""
         context = self._context
         worker = run.worker
         return (
@@ -105,7 +105,7 @@
         )
 
     def _ticket_for(self, run: Run, now: float) -> str | None:
-        """Return the ticket for a run; empty if its queue needs none, None if there is none."""
+        """Return a run's ticket: empty if its queue needs none, None if a needed one is missing."""
         step = run.task.step
         if self._context.policy.queue_of(step.job.spec).advice is None:
             return ""
@@ -149,7 +149,7 @@
     def handle_start_result(
         self, worker: Worker, key: RunKey, result: OrderResult, now: float
     ) -> None:
-        """Handle the result of an order to start, which may be missing."""
+        """Handle a worker's answer to a start order, or its absence."""
         run = worker.runs.get(key)
         outcome = result.outcome
         if outcome is OrderOutcome.DONE:
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -159,7 +159,7 @@
         restore_records(self.context, self.worker_registry, records, now)
         for worker_id in self.context.job_registry.workers_with_tasks_in_doubt():
             if worker_id not in self.context.table.workers:
-                # A worker's record is dropped only once the worker certainly runs nothing.
+                # A worker's record is deleted only once the worker certainly runs nothing.
                 self.context.job_registry.requeue_tasks_in_doubt_on(worker_id, now)
         self._is_recovered = True
         self._last_active_at = now
@@ -197,7 +197,7 @@
         is_whole: bool,
         now: float,
     ) -> None:
-        """Handle a listing of the directory: its workers, and its unusable items."""
+        """Handle a listing of the directory: its workers, and its unusable entries."""
         self.worker_registry.handle_listed(records, unusable, is_whole, now)
 
     def on_worker_unlisted(self, worker_id: WorkerId, now: float) -> None:
@@ -272,7 +272,7 @@
     ) -> None:
         """Handle the store's answer to an append, or its absence.
 
-        The arguments name the append's sequence number and the time when the call was sent.
+        ``sequence`` is the append's sequence number; ``sent_at`` is when the call was sent.
         """
         if self.context.has_stepped_down:
             return
@@ -320,7 +320,7 @@
             self._run_maintenance(now, wall_ms)
 
     def _record_activity(self, now: float) -> None:
-        """Record an event; after a stall, ownership is unproven whatever the first event is."""
+        """Record the time of an event; a stall before it voids earlier proofs of ownership."""
         gap_seconds = now - self._last_active_at
         self._last_active_at = now
         if gap_seconds > STALL_THRESHOLD_SECONDS:
@@ -385,7 +385,7 @@
             self._log_over_quota(over_quota_step)
         for eviction in self._placer.take_preemption_requests():
             self.runs.preempt(eviction, now)
-        # A pass that reached the limit of placements was cut off; another pass places the rest.
+        # A pass that reaches the limit of placements ends early; another pass places the rest.
         context.needs_placement = sum(len(item.placements) for item in plans) >= MAXIMUM_PLACEMENTS
         for call in context.advice_dispatcher.dispatch(now):
             context.emit(RequestAdvice(call.call_id, call.entry_name, call.step, call.worker_ids))
@@ -419,7 +419,7 @@
         )
 
     def _step_down_if_fenced(self, result: OrderResult) -> bool:
-        """Step down if a worker has seen a higher token; return whether to continue."""
+        """Step down if a worker has seen a higher token; return whether the holder may go on."""
         if self.context.has_stepped_down:
             return False
         if result.outcome.is_fenced:
--- a/src/onyxspoke/core/shard/store_budget.py
+++ b/src/onyxspoke/core/shard/store_budget.py
@@ -1,8 +1,8 @@
 """Rate limits of the store for all nodes together, and the pacing of each node's calls.
 
-The store rejects every call above its rate limits, including calls on which a holder's claim
-depends.  Each node therefore makes periodic calls, such as polls for a shard's holder, less often
-in a larger cell.
+The store rejects every call above its rate limits, including appends that renew a holder's claim.
+In a larger cell, each node therefore makes periodic calls, such as polls for a shard's holder, less
+often.
 """
 
 from __future__ import annotations
--- a/src/onyxspoke/core/shard/tenant_summary.py
+++ b/src/onyxspoke/core/shard/tenant_summary.py
@@ -17,7 +17,7 @@
     Attributes
     ----------
     running_jobs, waiting_jobs : int
-        Unfinished jobs of which a task has started, and of which none has.
+        Numbers of unfinished jobs that have started, and of those that have not.
     used : ResourceVector
         Capacity held by its runs, including runs in doubt and runs that are being stopped.
     quota : ResourceVector
@@ -25,7 +25,8 @@
     over_quota_steps : int
         Steps that wait because the quota is used up.
     owed, beyond : int
-        Jobs submitted within and over its fair share since this holder took over the shard.
+        Numbers of jobs within (``owed``) and over (``beyond``) the tenant's fair share that were
+        submitted since this holder took over the shard.
     """
 
     tenant: TenantName
--- a/src/onyxspoke/core/shard/worker_manager.py
+++ b/src/onyxspoke/core/shard/worker_manager.py
@@ -20,8 +20,8 @@
 UNCOMMITTED_HOLD_INTERVAL_SECONDS = 0.25
 #: Consecutive holds without an answer after which a worker counts as unresponsive.
 MISSED_HOLDS_UNTIL_UNRESPONSIVE = 2
-#: A hold without an answer that ends at most this long after its wait time was refused, or its
-#: connection was reset.  A hold that was lost ends later, by its timeout.
+#: If an unanswered hold ends at most this long after its wait time, its connection was refused or
+#: reset.  A lost hold ends later, by its timeout.
 EARLY_END_TOLERANCE_SECONDS = 0.1
 #: Interval after which a worker that answered as unhealthy is polled again.
 UNHEALTHY_HOLD_INTERVAL_SECONDS = 0.3
@@ -137,7 +137,7 @@
     def handle_hold_result(
         self, worker: Worker, number: int, result: HoldResult, now: float
     ) -> None:
-        """Handle the result of a hold, which may be missing."""
+        """Handle a worker's answer to a hold, or its absence."""
         hold = worker.long_hold if worker.long_hold.number == number else worker.immediate_hold
         if hold.number != number or not hold.sent_at:
             return
@@ -253,8 +253,8 @@
         """Return the next incarnation of a worker that has restarted under its name.
 
         The counters and lists of the previous incarnation must not be carried over.  Otherwise the
-        next one would drop ends that were never read, so that tasks run twice, and its lists would
-        be ignored as out of order, so that tasks never run.
+        next incarnation would drop ends that were never read, so that tasks run twice.  The holder
+        would also ignore the next incarnation's lists as out of order, so that tasks never run.
         """
         self._context.emit(DropWorkerConnections(address_of(previous)))
         worker = self._worker_registry.begin_next_incarnation(previous, born_ms, now)
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -77,7 +77,7 @@
         is_complete: bool,
         now: float,
     ) -> None:
-        """Process a listing of the directory; workers missing from a complete one are gone."""
+        """Process a listing of the directory; a worker missing from a complete listing is gone."""
         for record in records:
             self._process_entry(record, now)
         for entry in unusable:
@@ -189,8 +189,8 @@
 
         It gets runs only once the directory has an entry of it.
         """
-        # The new incarnation may execute an unanswered order to the previous one, and run its task
-        # for one lease.
+        # The new incarnation may execute an order that the previous one has not answered, and run
+        # the ordered task for one lease.
         previous_lease_expires_at = now + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
         worker = Worker(previous.record, previous_lease_expires_at)
         worker.born_ms = born_ms
@@ -233,7 +233,8 @@
             former_gpu=previous.accelerators,
             runs=len(worker.runs),
         )
-        # A step that found no free capacity checks only workers that have gained some since.
+        # A step that did not fit on any worker checks only the workers whose free capacity has
+        # grown since then.
         self._context.table.note_capacity_gain(worker)
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
