--- a/src/onyxspoke/core/jobs/model.py
+++ b/src/onyxspoke/core/jobs/model.py
@@ -156,8 +156,8 @@
     tenant : str
         The tenant that owns the job; empty if no tenants are configured.
     is_over_share : bool
-        Whether the tenant had submitted more than its fair share; such a job waits behind jobs that
-        are within their tenants' fair shares.
+        Whether the tenant had submitted more than its fair share; the scheduler places such
+        a job after all work that other tenants are entitled to.
     """
 
     job_id: JobId
--- a/src/onyxspoke/core/jobs/progress.py
+++ b/src/onyxspoke/core/jobs/progress.py
@@ -97,7 +97,8 @@
     last_run_number : int
         Highest known run number of any task of the step.
     due_at : float
-        When the job was accepted, or the repetition started, in seconds of the local clock.
+        When the repetition of a scheduled job started, or when another job was accepted, in seconds
+        of the local clock.
     remaining_path_seconds : float
         Estimated duration of the longest path of dependent steps from this step to the job's end.
     over_quota_since : float or None
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -110,7 +110,7 @@
         self.uncommitted_layout: CellLayout | None = None
         #: Time until which no node can claim the shard, because no node reaches the store.
         self.unclaimable_until = 0.0
-        #: Offset from the holder's clock to the time of day, in milliseconds, or ``None``.
+        #: Offset from the holder's clock to the time of day, in milliseconds; ``None`` if unknown.
         self.wall_offset_ms: float | None = None
         #: When the process last found that it had been stalled; another node may have claimed the
         #: shard before that time.
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -43,7 +43,8 @@
 IDLE_PARTITION_SECONDS = 0.6
 #: Pause before a node whose claims are deferred reads the claim again.
 DEFERRED_RETRY_SECONDS = 0.8
-#: Delay between the turns of two successive claimants, and the longest delay of any turn.
+#: Delay between the turns of two successive claimants, and the longest delay of any turn apart
+#: from the random spread.
 TURN_INTERVAL_SECONDS = 0.1
 MAXIMUM_TURN_DELAY_SECONDS = 1.0
 #: Interval at which a node that waits for its turn checks whether another node has claimed.
--- a/src/onyxspoke/core/shard/load_option_definitions.py
+++ b/src/onyxspoke/core/shard/load_option_definitions.py
@@ -8,7 +8,7 @@
 
 
 class LoadOptionDefinition(msgspec.Struct, frozen=True, kw_only=True):
-    """Definition of one key; ``minimum`` and ``maximum`` bound a number."""
+    """Definition of one key; ``minimum`` and ``maximum`` are the bounds of a numeric value."""
 
     description: str
     unit: str = ""
--- a/src/onyxspoke/core/shard/load_options.py
+++ b/src/onyxspoke/core/shard/load_options.py
@@ -11,7 +11,7 @@
     Attributes
     ----------
     admission : bool
-        Refuse jobs that cannot finish in time, at once and with a retry time.
+        Refuse jobs at once if they cannot finish in time, and state when the caller should retry.
     advice_shares : bool
         Share the advice queue fairly between tenants and queues.
     learned_estimates : bool
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -132,7 +132,8 @@
     def _process_entry(self, record: WorkerRecord, now: float) -> None:
         worker = self._context.table.workers.get(record.worker_id)
         if worker is not None and worker.born_ms and not record.born_ms:
-            # All entries that the worker itself writes contain its start time.
+            # All entries that the worker itself writes contain its start time, so another program
+            # wrote this one.
             self._mark_unusable(UnusableEntry(record.worker_id, EntryFault.NO_START_TIME))
             return
         if worker is not None and record.born_ms in worker.previous_starts_ms:
