--- a/src/onyxspoke/core/jobs/job_registry.py
+++ b/src/onyxspoke/core/jobs/job_registry.py
@@ -289,7 +289,7 @@
     def task_crashed(self, task: TaskProgress, blame: CrashBlame, now: float) -> bool:
         """Count a worker crash during a run of a task; return whether the job fails because of it.
 
-        A crash does not count as an attempt, because attempts count only ends that workers report.
+        A crash does not count as an attempt, because only ends that workers report do.
         Crashes of long-running tasks are limited too, as each one also ends the other runs on the
         worker.
         """
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -38,7 +38,7 @@
 class SendHold(msgspec.Struct, frozen=True):
     """Fence a worker, extend its lease, and ask which runs are active and which have ended.
 
-    ``acknowledged_through`` is the number of the last end of a run that the holder has recorded.
+    ``acknowledged_through`` is the number of the last end that the holder has recorded.
     ``until_ms`` is the new end of the lease, 0 if the lease is not extended.  ``wait_ms`` is the
     longest time for which the worker may delay its answer until a run ends.
     """
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -45,7 +45,7 @@
     repetition_lead_ms : float
         Longest time by which a repetition may start before its scheduled time.
     start_validity_ms : int
-        Time after which a start order that a worker has not carried out expires.
+        Time after which a start order expires if the worker has not carried it out.
     hold_wait_ms : int
         Longest time for which a worker may delay its answer until a run ends.
     hold_interval_seconds : float
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -155,7 +155,7 @@
     def handle_claim_read(
         self, is_answered: bool, claim: ClaimRecord | None, end: int, now: float
     ) -> None:
-        """Handle the store's answer to a read of the claim and the end, or its absence."""
+        """Handle the answer to a read of the claim and of the partition's end, or its absence."""
         self._is_read_pending = False
         if self.state in (ElectionState.HOLDING, ElectionState.CLAIMING):
             return
--- a/src/onyxspoke/core/shard/scheduler.py
+++ b/src/onyxspoke/core/shard/scheduler.py
@@ -138,7 +138,7 @@
         self._is_recovered = False
         self._next_maintenance_at = 0.0
         self._next_placement_at = 0.0
-        #: Whether a placement pass is needed but must wait for the pause after the previous one.
+        #: Whether a placement pass is needed but must wait until the pause after the last one ends.
         self._is_placement_deferred = False
 
     # Recovery
