--- a/src/onyxspoke/account/job_history.py
+++ b/src/onyxspoke/account/job_history.py
@@ -11,7 +11,7 @@
 #: Events that only an active holder logs; a takeover starts at the previous holder's last one.
 _HOLDER_EVENTS = frozenset({"run_start", "run_ended", "job_taken", "job_accepted", "job_ended"})
 _RUN_START_EVENTS = frozenset({"run_start", "run_adopted"})
-#: Events for the end of a run; the event's name is the kind of end where `how=` is absent.
+#: Events for the end of a run; the event's name is the kind of end if the line has no `how=`.
 _RUN_END_EVENTS = frozenset(
     {
         "run_ended",
@@ -112,7 +112,7 @@
 
 
 class Takeover(NamedTuple):
-    """A change of holder, from the previous holder's last logged event to completed recovery."""
+    """A change of holder, from the previous holder's last logged event to the end of recovery."""
 
     began_at: float
     ended_at: float
--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -9,8 +9,8 @@
 from onyxspoke.account.phases import CriticalPath, PathTimes, Phase
 from onyxspoke.account.typical_run_times import TypicalRunTimes
 
-#: A run without a logged end is assumed to have ended, with the log line of its end missing, if it
-#: started this many times the longest run time of its queue before the last log line.
+#: The log line of a run's end is assumed to be missing if the time from the run's start to the
+#: last log line is at least this many times the longest run time of the queue.
 MISSING_END_FACTOR = 3.0
 #: Log lines are missing if the phases of a late job leave more of its time unassigned than this.
 MAX_UNASSIGNED_SECONDS = 0.1
--- a/src/onyxspoke/account/phases.py
+++ b/src/onyxspoke/account/phases.py
@@ -118,7 +118,7 @@
         return max([accepted_at, *(end for end in ends.values() if end <= first_start)])
 
     def _required_step_seconds(self, task: TaskId) -> float:
-        """Return the required time of a step: its longest task, with its self-caused failures."""
+        """Return the time of a step's longest task, including failures that its job caused."""
         return max(
             sum(self._required_run_seconds(other, run) for run in runs.values())
             for other, runs in self._job.runs.items()
@@ -153,7 +153,7 @@
             else:
                 self._times.add_expected(phase, min(seconds, self._required_run_seconds(task, run)))
             covered_until = max(covered_until, ended_at)
-        # Work saved by a stopped run shortens the last run, so that much lost time is expected.
+        # Work saved by a stopped run shortens the last run; as much lost time is expected.
         self._times.add_expected(
             Phase.LOST_RUNS, min(lost_seconds, max(0.0, expected_seconds - work_seconds))
         )
--- a/src/onyxspoke/account/typical_run_times.py
+++ b/src/onyxspoke/account/typical_run_times.py
@@ -19,7 +19,7 @@
 MIN_OTHER_RUNS = 2
 #: Runs of a step are treated as a gang if all of them end within this time.
 MAX_GANG_END_SPREAD_SECONDS = 0.05
-#: Quantile of the ratios of run time to estimate that bounds the runs of a queue.
+#: Quantile of a queue's ratios of run time to estimate that limits the expected run times.
 ESTIMATE_RATIO_QUANTILE = 0.9
 
 StepId = tuple[str, int, int]
@@ -110,7 +110,7 @@
                 self._runs_by_step[step][task.number] = single_run
 
     def _worker_slowdowns(self) -> dict[str, float]:
-        """Return the typical ratio of run time to the step's median, by worker with enough runs."""
+        """Return the median ratio of run time to the step's median for workers with enough runs."""
         ratios: dict[str, list[float]] = defaultdict(list)
         for runs in self._runs_by_step.values():
             typical_seconds = _typical_seconds(runs)
--- a/src/onyxspoke/core/actions.py
+++ b/src/onyxspoke/core/actions.py
@@ -29,7 +29,7 @@
 
 
 class DetachWorker(msgspec.Struct, frozen=True):
-    """Close the connection to a worker that owes this entry no more answers."""
+    """Close the connection to a worker from which this entry expects no more answers."""
 
     worker_id: WorkerId
 
--- a/src/onyxspoke/core/estimates/durations.py
+++ b/src/onyxspoke/core/estimates/durations.py
@@ -56,7 +56,7 @@
         self.queues: dict[str, WorkModel] = {}
         self.tenants: dict[tuple[str, str], WorkModel] = {}
         self.speeds = WorkerSpeeds()
-        #: Time on the holder's clock, in seconds, since which it has run without a pause.
+        #: Time, in seconds on the holder's clock, since which the holder has run without a pause.
         self.observing_since = -math.inf
         #: Whether runs were observed since the estimates were last recorded.
         self.has_unrecorded_observations = False
@@ -67,7 +67,7 @@
     def expected(
         self, queue: str, tenant: str, estimated_ms: float, worker_id: str = ""
     ) -> DurationEstimate:
-        """Return a task's expected duration on a worker; without one, at usual speed."""
+        """Return a task's expected duration on a worker, or at usual speed if none is given."""
         seconds = estimated_ms / _MILLISECONDS
         work = self.tenants.get((queue, tenant)) or self.queues.get(queue)
         if not self._is_learning or work is None:
@@ -120,7 +120,7 @@
     # Observations
 
     def observe_progress(self, run: Run, now: float) -> None:
-        """Learn from the progress of a run that its worker reports."""
+        """Learn from a run's progress as reported by its worker."""
         if not self._is_learning or run.percent < FIRST_PERCENT or run.gang is not None:
             return
         if is_uninformative(run, self.observing_since):
@@ -141,7 +141,7 @@
         self._attribute_ratio(run, ratio, PROGRESS_WEIGHT, now)
 
     def observe_run_end(self, run: Run, end: RunEnd, now: float) -> None:
-        """Learn from the end of a run that its worker lists."""
+        """Learn from a run's end as listed by its worker."""
         if not self._is_learning or end is not RunEnd.DONE or not is_end_time_known(run, now):
             return
         if run.gang is not None:
@@ -163,7 +163,7 @@
         usual_log = ratio - speed.log
         step.evidence.add_sample(Observation(run.task.index, speed, ratio, share))
         self._compare_pending(step, step.evidence, now)
-        # A job's tasks share the error of its caller's estimate, so the whole job weighs as one.
+        # A job's tasks share the error of its caller's estimate, so together they weigh as one.
         tasks = len(step.tasks) * len(step.job.spec.steps)
         self._observe_work(step.job.work, usual_log, share / tasks, now)
 
--- a/src/onyxspoke/core/estimates/evidence.py
+++ b/src/onyxspoke/core/estimates/evidence.py
@@ -1,4 +1,4 @@
-"""Observations of durations from ends and progress of runs, and which runs are excluded."""
+"""Derives observed durations from the ends and progress of runs, and excludes unsuitable runs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
     from onyxspoke.core.jobs.progress import StepProgress
     from onyxspoke.core.placement.runs import GangRun, Run
 
-#: Workers list ends tens of milliseconds late, so a smaller difference, in seconds, is ignored.
+#: Differences up to this, in seconds, are ignored, because workers list ends tens of
+#: milliseconds late.
 RESOLUTION_SECONDS = 0.1
 #: An estimate that is wrong by more than this factor is ignored.
 MAXIMUM_ERROR_FACTOR = 20.0
@@ -22,11 +23,11 @@
 FIRST_PERCENT = 20
 #: Percentage points between two checks of a run's pace.
 PROGRESS_STEP_PERCENT = 10
-#: Weight of an observation from a run's progress; the run's end has the rest of 1.
+#: Weight of an observation from a run's progress; the run's end has the remaining weight.
 PROGRESS_WEIGHT = 0.5
-#: A smaller change of a run's pace, as a natural logarithm, is ignored.
+#: A pace change is ignored if the absolute value of its natural logarithm is at most this.
 MINIMUM_CHANGE_LOG = 0.4
-#: Further pace changes of a run are ignored, because the run itself is uneven.
+#: Maximum number of pace changes used per run; a run with more is itself uneven.
 MAXIMUM_PACE_CHANGES = 4
 #: Maximum number of tasks of one step that are compared with each other.
 MAXIMUM_SIBLINGS = 64
@@ -34,14 +35,15 @@
 MINIMUM_SIBLINGS = 2
 #: Spread of a work model, as a natural logarithm, at which its baseline has a confidence of 0.5.
 HALF_CONFIDENCE_SPREAD_LOG = 0.15
-#: With an older list of runs, in seconds, the worker was unreachable and ends have no known time.
+#: If a worker's list of runs is older than this, in seconds, the worker was unreachable and the
+#: end times of its runs are unknown.
 MAXIMUM_LIST_AGE_SECONDS = 1.5
 #: The slowest member of a gang is identified only if all others reached 100 percent earlier by at
 #: least this share of the gang's duration.
 MINIMUM_GANG_LAG_SHARE = 0.2
 _MILLISECONDS = 1_000.0
 _FULL_PERCENT = 100
-#: Progress is rounded down to whole percent, so half a percent is added on average.
+#: Progress is rounded down to whole percent, so the mean rounding error is added back.
 _HALF_PERCENT = 0.5
 
 
@@ -85,7 +87,7 @@
 
 
 class Observation(NamedTuple):
-    """log(actual / estimated) of one run, and the share of the run's weight that it has."""
+    """log(actual / estimated) of one run, and the observation's share of the run's weight."""
 
     task_index: int
     speed: WorkerSpeed
@@ -196,7 +198,7 @@
 
 
 def log_ratio(seconds: float, estimate: float) -> float | None:
-    """Return log(actual / estimated); 0 within the resolution, ``None`` if out of range."""
+    """Return log(actual / estimated); 0 if nearly equal, ``None`` if out of range."""
     if seconds <= 0.0:
         return None
     if abs(seconds - estimate) <= RESOLUTION_SECONDS:
@@ -211,7 +213,8 @@
     """Return the baseline for a run on a worker; ``None`` if there are too few observations.
 
     Tasks of the same step on other workers share the job's estimation error, so they are a better
-    baseline than the queue. The queue is used only after all tasks of the step are observed.
+    baseline than the job's work model. The work model is used only after all tasks of the step are
+    observed.
     """
     other_ratios = evidence.other_ratios(worker_id)
     if len(other_ratios) >= MINIMUM_SIBLINGS:
--- a/src/onyxspoke/core/estimates/record.py
+++ b/src/onyxspoke/core/estimates/record.py
@@ -89,7 +89,7 @@
 
 
 def restore_estimates(durations: DurationEstimator, data: bytes, now: float) -> None:
-    """Restore what the previous holder learned; raise :class:`EstimatesRecordError`."""
+    """Restore the previous holder's record; raise :class:`EstimatesRecordError` if unreadable."""
     try:
         record = _decoder.decode(data)
     except msgspec.MsgspecError as error:
--- a/src/onyxspoke/core/estimates/speeds.py
+++ b/src/onyxspoke/core/estimates/speeds.py
@@ -12,12 +12,12 @@
 PRIOR_WEIGHT_RUNS = 4.0
 #: Maximum evidence on a worker, in runs, so that its mean still follows changes.
 MAXIMUM_EVIDENCE = 20.0
-#: With less evidence, in runs, only the speed of the worker's kind is used.
+#: If a worker has less evidence than this, in runs, only the speed of its kind is used.
 MINIMUM_EVIDENCE = 1.0
 #: One observation's distance from the worker's mean is clipped to this logarithm, so that a task
 #: of extreme duration doesn't make its worker look slow.
 MAXIMUM_DEVIATION_LOG = 0.7
-#: A worker's deviation below this logarithm counts as none.
+#: A worker's factor is 1 if the absolute value of its estimated logarithm is below this.
 NEUTRAL_BAND_LOG = 0.18
 #: Workers with enough evidence that are needed for the median of a kind, or of all workers.
 MINIMUM_WORKERS = 4
@@ -31,7 +31,8 @@
     kind : str
         The worker's kind from the directory; empty if the directory gives none.
     factor : float
-        Factor by which durations on this worker are multiplied; exactly 1 with little evidence.
+        Factor by which durations on this worker are multiplied; with little evidence, that of its
+        kind.
     mean_log : float
         Mean logarithm of its runs' durations over the durations expected on a usual worker.
     logged_factor : float
@@ -70,7 +71,7 @@
         return float(self._evidence * 0.5 ** (elapsed_seconds / HALF_LIFE_SECONDS))
 
     def add_sample(self, residual_log: float, weight: float, now: float) -> None:
-        """Add one run's logarithm of its duration over that expected on a usual worker."""
+        """Add the logarithm of one run's duration over the duration on a usual worker."""
         evidence = self.evidence(now)
         bounded_log = max(
             self.mean_log - MAXIMUM_DEVIATION_LOG,
@@ -126,7 +127,7 @@
         self._restored = restored
 
     def begin_incarnation(self, worker_id: str, born_ms: int, kind: str, now: float) -> WorkerSpeed:
-        """Return the speed of a new incarnation, initially that of its record or its kind."""
+        """Return a new incarnation's speed, initially its restored speed or that of its kind."""
         speed = WorkerSpeed(worker_id, born_ms, kind)
         restored = self._restored.pop(worker_id, None)
         if restored is not None and restored.born_ms == born_ms:
--- a/src/onyxspoke/core/estimates/work_model.py
+++ b/src/onyxspoke/core/estimates/work_model.py
@@ -10,11 +10,11 @@
 MINIMUM_JOBS = 8.0
 #: Observed jobs that are needed before a tenant has its own factor instead of its queue's.
 MINIMUM_TENANT_JOBS = 16.0
-#: A median ratio whose logarithm is below this value counts as 1.
+#: A ratio counts as 1 if the absolute value of its logarithm is below this.
 NEUTRAL_BAND_LOG = 0.11
 #: The quantile that ``upper_factor`` stands for.
 UPPER_QUANTILE = 0.9
-#: Two thirds of the observations lie between these quantiles.
+#: About two thirds of the observations lie between these quantiles.
 _LOW_QUANTILE, _HIGH_QUANTILE = 0.16, 0.84
 
 
@@ -34,7 +34,7 @@
     is_known : bool
         Whether this model or its parent has enough observations for a factor.
     factor : float
-        Factor by which estimates are multiplied; exactly 1 with too few observations.
+        Factor by which estimates are multiplied; exactly 1 unless ``is_known``.
     upper_factor : float
         Factor by which estimates are multiplied for the upper quantile; at least ``factor``.
     spread_log : float
--- a/src/onyxspoke/core/holdover.py
+++ b/src/onyxspoke/core/holdover.py
@@ -16,7 +16,7 @@
 
 
 class HoldoverKeeper:
-    """Requests promises from zone peers as its lease runs out, and grants promises to them."""
+    """Requests promises from zone peers before this entry's lease ends, and grants promises."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
@@ -41,7 +41,7 @@
         self._extend_if_complete()
 
     def handle_grant(self, peer_id: EntryId, round_number: int) -> None:
-        """Record a promise; the lease is extended from the start of its round."""
+        """Record a promise; the last one extends the lease, counted from the start of the round."""
         if round_number == self._round_number and peer_id in self._peers_without_promise:
             self._peers_without_promise.discard(peer_id)
             self._extend_if_complete()
--- a/src/onyxspoke/core/job_recovery.py
+++ b/src/onyxspoke/core/job_recovery.py
@@ -1,7 +1,7 @@
 """Recovery of adopted jobs: finds the tasks that still run before it starts any again.
 
-After an adoption is read back, the member timeout has to pass: by then no entry that could
-start a task for the previous runner holds a lease without having read the adoption.  Then
+After an adoption is read back, the member timeout has to pass: by then every entry that still
+holds a lease has read the adoption, so it starts no task for the previous runner.  Then
 the owners of all workers in the zone report the tasks that run on them.  Only tasks that
 run on no worker are started again.
 """
--- a/src/onyxspoke/core/job_runner.py
+++ b/src/onyxspoke/core/job_runner.py
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class JobProgress:
-    """A job that this entry runs; ``launched`` holds the tasks queued or found running."""
+    """A job that this entry runs; ``launched`` holds its tasks started here or found running."""
 
     entry: DurableJob
     launched: set[int] = field(default_factory=set)
@@ -122,7 +122,7 @@
         self.continue_recovered(now)
 
     def continue_recovered(self, now: float) -> None:
-        """Start the tasks that no worker ran in the last complete round of probes."""
+        """Start, or fail as lost, the tasks that ran on no worker in a complete round of probes."""
         for job_id, still_running in self.recovery.take_recovered().items():
             progress = self._running[job_id]
             progress.launched |= still_running
@@ -137,7 +137,8 @@
                 else:
                     self._launch(progress, index, now)
             if still_running - progress.answers.keys():
-                # The owners of their workers send the answers; probe again in case one is lost.
+                # The owners of the workers that run these tasks send the answers; probe again in
+                # case an answer is lost.
                 progress.launched -= still_running
                 self.recovery.begin(job_id, now)
 
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -75,7 +75,7 @@
     def handle_stream_start(
         self, stream: LogStream, first_retained_offset: Offset, next_offset: Offset
     ) -> None:
-        """Handle the offset from which on the log retains a stream.
+        """Handle the lowest offset of a stream that the log still retains.
 
         ``next_offset`` is the first offset that this entry has not read.
         """
@@ -207,7 +207,7 @@
             self._jobs.handle_adoption_read(record.job_id, now)
 
     def _add_peer(self, entry_id: str, zone: str, host: str, port: int) -> None:
-        """Add a member that the log names as a peer, and connect to the member."""
+        """Add a member from the log to the peers, and connect to it."""
         peers = self._context.peers.peers
         if entry_id == self._context.identity.entry_id or entry_id in peers:
             return
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -20,7 +20,8 @@
 
     A holder's lease ends ``lease_seconds`` after the holder *created* its last renewal.
     A claimant waits for ``lease_seconds + margin_seconds`` after it *read* that renewal, which
-    is later.  The margin covers the difference in rate between two monotonic clocks.
+    happens later than the creation.  The margin covers the difference in rate between two
+    monotonic clocks.
     """
 
     lease_seconds: float = 5.0
@@ -84,7 +85,7 @@
     cache : PreferenceCache
         Keeps the preferred entries from one plan to the next.
     holdover_promised_until : mapping
-        Time, for each holder, until which this entry promised not to claim its workers.
+        Time, for each holder, until which this entry promised not to claim the holder's workers.
     """
     live_entry_ids = cell.live_members(identity.zone, now, options.member_timeout_seconds)
     claims: list[ClaimItem] = []
--- a/src/onyxspoke/core/ownership_manager.py
+++ b/src/onyxspoke/core/ownership_manager.py
@@ -82,7 +82,7 @@
         self._append_releases(list(self._context.workers.workers))
 
     def reattach(self, now: float) -> None:
-        """Attach the workers again that are disconnected or have not answered."""
+        """Reattach the workers that are disconnected or have not answered."""
         interval_seconds = self._context.options.reattach_interval_seconds
         for worker in self._context.workers.workers.values():
             needs_attach = worker.state is not WorkerState.ACTIVE
--- a/src/onyxspoke/core/peer_keeper.py
+++ b/src/onyxspoke/core/peer_keeper.py
@@ -8,7 +8,7 @@
 
 
 class PeerKeeper:
-    """Advertises capacity on change, at a limited rate, and after a maximum interval."""
+    """Advertises capacity when it changes, at a limited rate, and at least once per interval."""
 
     def __init__(self, context: EntryContext) -> None:
         self._context = context
--- a/src/onyxspoke/core/planned_stop.py
+++ b/src/onyxspoke/core/planned_stop.py
@@ -9,7 +9,7 @@
 
 
 class PlannedStop:
-    """Drains an entry after it was told to stop, until its process may exit."""
+    """Drains an entry after a stop was requested, until its process may exit."""
 
     def __init__(self, context: EntryContext, ownership: OwnershipManager, jobs: JobRunner) -> None:
         self._context = context
--- a/src/onyxspoke/core/request_dispatcher.py
+++ b/src/onyxspoke/core/request_dispatcher.py
@@ -82,7 +82,7 @@
             self.answer(request, answer, now)
 
     def handle_task_refused(self, attempt_id: AttemptId, code: ResultCode, now: float) -> None:
-        """Requeue the request of an attempt that a worker refused to start."""
+        """Requeue the request of an attempt that a worker refused or that was not sent."""
         request = self._context.attempts.pop(attempt_id, None)
         if request is not None:
             self._requeue(request, code, now)
@@ -101,7 +101,7 @@
             self.answer(request, answer, now)
 
     def handle_peer_lost(self, peer_id: EntryId, now: float) -> None:
-        """Fail all requests that wait for an answer of a lost peer."""
+        """Fail all requests that wait for an answer from a lost peer."""
         for request in list(self._context.requests.values()):
             if request.peer_id != peer_id:
                 continue
@@ -230,7 +230,7 @@
         return True
 
     def _requeue(self, request: ActiveRequest, code: ResultCode, now: float) -> None:
-        """Queue a request that did not run again, up to the maximum number of attempts."""
+        """Requeue a request that did not run, up to the maximum number of attempts."""
         request.peer_id = ""
         request.worker_id = ""
         if isinstance(request.origin, JobOrigin) and not self._runs_job(request.origin.job_id):
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -197,7 +197,7 @@
     def on_log_start(
         self, stream: LogStream, first_retained_offset: Offset, next_offset: Offset, now: float
     ) -> list[Action]:
-        """Handle the offset from which on the log retains a stream.
+        """Handle the lowest offset of a stream that the log still retains.
 
         ``next_offset`` is the first offset that this entry has not read.
         """
@@ -277,7 +277,7 @@
         if self.context.stopping:
             return self._refuse_request(active_request, ResultCode.ENTRY_STOPPING, now)
         if request.task_name and not self._is_runner(peer_id, request.task_name):
-            # Another entry has taken over the job after the peer sent the request.
+            # Another entry took over the job after the peer sent the request.
             return self._refuse_request(active_request, ResultCode.STALE_EPOCH, now)
         self.dispatcher.place_or_queue(active_request, now)
         return self._take_actions(now)
@@ -303,7 +303,7 @@
     def on_job_probe(
         self, peer_id: EntryId, probe_id: int, job_ids: list[JobId], now: float
     ) -> list[Action]:
-        """Handle a probe for tasks, by a peer that has taken over their jobs."""
+        """Handle a peer's probe for running tasks of jobs that the peer has taken over."""
         self.jobs.recovery.answer_probe(peer_id, probe_id, job_ids)
         return self._take_actions(now)
 
--- a/src/onyxspoke/core/schema.py
+++ b/src/onyxspoke/core/schema.py
@@ -173,7 +173,7 @@
 
 
 class JobSubmission(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A batch job, as its caller submitted the job."""
+    """A batch job, as its caller submitted it."""
 
     job_id: JobId
     request: TaskRequest
--- a/src/onyxspoke/core/settings_propagation.py
+++ b/src/onyxspoke/core/settings_propagation.py
@@ -1,4 +1,4 @@
-"""Tracks settings changes until the log accepts them and all live entries apply them."""
+"""Tracks settings changes until they are decided and, if accepted, all live entries apply them."""
 
 from __future__ import annotations
 
--- a/src/onyxspoke/core/snapshot.py
+++ b/src/onyxspoke/core/snapshot.py
@@ -141,7 +141,7 @@
         self._assembler = SnapshotAssembler()
 
     def handle_stream_start(self, first_retained_offset: Offset) -> None:
-        """Handle the first offset of the stream; a stream that is complete needs no snapshot."""
+        """Handle the first retained offset; a stream retained from its start needs no snapshot."""
         if self._first_retained_offset is None:
             self._first_retained_offset = first_retained_offset
             self.is_complete = first_retained_offset <= 1
--- a/src/onyxspoke/core/snapshot_writer.py
+++ b/src/onyxspoke/core/snapshot_writer.py
@@ -37,7 +37,7 @@
         self._snapshot_count = 0
 
     def handle_part_read(self, now: float) -> None:
-        """Handle a part of a snapshot, by any entry, that was read from the log."""
+        """Handle a snapshot part that was read from the log; any entry may have written it."""
         self._last_snapshot_at = now
 
     def tick(self, now: float) -> None:
--- a/src/onyxspoke/core/tenants/policy.py
+++ b/src/onyxspoke/core/tenants/policy.py
@@ -15,8 +15,8 @@
     Attributes
     ----------
     weight : float
-        The tenant's fair share in jobs per second: in a full cell these jobs go before jobs of
-        tenants that are over their share.
+        The tenant's fair share in jobs per second: in a full cell, jobs within this share go
+        before jobs of tenants that are over theirs.
     quota : ResourceVector
         The resources that the tenant's runs may use on all workers; an amount of 0 sets no limit.
     """
--- a/src/onyxspoke/core/tenants/quota_borrower.py
+++ b/src/onyxspoke/core/tenants/quota_borrower.py
@@ -10,8 +10,8 @@
 from onyxspoke.core.tenants.policy import TenantName
 from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
-#: Seconds between two requests for more, so that jobs that arrive together share a request; and
-#: seconds until a request is repeated that was not granted in full.
+#: Seconds between two requests for more quota, so that jobs that arrive together share a request;
+#: and seconds until a request that was not granted in full is repeated.
 REQUEST_INTERVAL_SECONDS = 0.05
 RETRY_SECONDS = 0.25
 #: Unneeded quota is returned after this time, in seconds, because the next jobs may need it soon
@@ -73,7 +73,7 @@
         quota : ResourceVector
             The tenant's quota in force.
         used : ResourceVector
-            The resources that the tenant's runs may use in this shard.
+            The resources that the tenant's runs in this shard use or may be using.
         wanted : ResourceVector
             The resources of waiting tasks that could start in addition.
         """
--- a/src/onyxspoke/core/tenants/quota_lender.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _UnmetRequest:
-    """The request of a shard that was not granted in full."""
+    """A shard's request that was not granted in full."""
 
     since: float
     asked_at: float
@@ -112,7 +112,7 @@
     Free quota goes to the oldest unmet request until that request is granted in full.  Otherwise
     several shards could each hold a part that is too small to start any task.  The other shards
     repeat their requests and return the quota that they do not use.  The waiting time of a shard
-    restarts when the shard starts work.
+    restarts when the shard starts more work.
     """
 
     def __init__(self, home: ShardId) -> None:
@@ -156,7 +156,7 @@
         quota : ResourceVector
             The tenant's quota; an amount of 0 sets no limit.
         used : ResourceVector
-            The resources that the home shard's runs may use.
+            The resources that the home shard's runs use or may be using.
         """
         account = self._accounts.setdefault(request.tenant, _Account())
         previous_loan = account.loans.get(request.shard)
@@ -214,7 +214,7 @@
         return _encoder.encode(loans)
 
     def restore(self, tenant: TenantName, data: bytes) -> None:
-        """Restore the previous holder's loans; raise ``msgspec.MsgspecError``."""
+        """Restore the previous holder's loans; raise ``msgspec.MsgspecError`` if unreadable."""
         if data:
             self._accounts[tenant] = _Account(loans=_decoder.decode(data))
 
--- a/src/onyxspoke/core/tenants/quota_usage.py
+++ b/src/onyxspoke/core/tenants/quota_usage.py
@@ -1,7 +1,8 @@
 """Tracks the resources that each tenant's runs use, and limits new runs to the quotas.
 
-A run counts from before its start is ordered until its worker lists the end or the run certainly
-cannot execute.  A run also counts while it is stopped, in doubt, or on an unresponsive worker.
+A run counts from just before the order to start it until its worker lists its end, or until it
+certainly cannot execute.  A run also counts while it is stopped, in doubt, or on an unresponsive
+worker.
 """
 
 from __future__ import annotations
