--- a/src/onyxspoke/account/job_history.py
+++ b/src/onyxspoke/account/job_history.py
@@ -8,7 +8,7 @@
 
 from onyxspoke.account.log_lines import LogReader
 
-#: Events that only an active holder logs; a takeover starts at the previous holder's last one.
+#: Events that only an active holder logs; a takeover starts at the last one of the previous holder.
 _HOLDER_EVENTS = frozenset({"run_start", "run_ended", "job_taken", "job_accepted", "job_ended"})
 _RUN_START_EVENTS = frozenset({"run_start", "run_adopted"})
 #: Events for the end of a run; the event's name is the kind of end if the line has no `how=`.
@@ -22,7 +22,7 @@
         "start_settled",
     }
 )
-#: A refusal repeated within this time is the entry's log line for the holder's refusal.
+#: An equal refusal within this time is the entry's log line about the holder's refusal.
 _DUPLICATE_REFUSAL_SECONDS = 1.0
 _MILLISECONDS_PER_SECOND = 1_000.0
 
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class RunHistory:
-    """One run: when its start was logged, and when and how its end was logged."""
+    """One run, with the logged times of its start and end and the logged kind of its end."""
 
     started_at: float
     ended_at: float | None = None
--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -45,7 +45,7 @@
     outcome: Outcome
     #: Time spent in each phase, in seconds.
     seconds_by_phase: dict[Phase, float] = field(default_factory=dict)
-    #: By phase, the seconds spent beyond the expected ones.
+    #: Seconds by which each phase exceeded its expected time.
     excess_seconds: dict[Phase, float] = field(default_factory=dict)
     is_over_share: bool = False
     #: Number of refused submissions of the job.
--- a/src/onyxspoke/account/phases.py
+++ b/src/onyxspoke/account/phases.py
@@ -52,7 +52,7 @@
         self.expected_seconds[phase] = self.expected_seconds.get(phase, 0.0) + seconds
 
     def excess_seconds(self) -> dict[Phase, float]:
-        """Return by phase the seconds spent beyond the expected ones."""
+        """Return the seconds by which each phase exceeded its expected time."""
         return {
             phase: max(0.0, seconds - self.expected_seconds.get(phase, 0.0))
             for phase, seconds in self.spent_seconds.items()
--- a/src/onyxspoke/account/typical_run_times.py
+++ b/src/onyxspoke/account/typical_run_times.py
@@ -51,8 +51,8 @@
     def expected_seconds(self, job: JobHistory, task: TaskId, run: RunHistory) -> float:
         """Return the expected time of a successful run, in seconds.
 
-        The expected time is the run time on a worker of typical speed. It is limited to the
-        typical time of the longest task of a step, as derived from the other tasks of the step.
+        The expected time is the run time on a worker of typical speed. It is at most the
+        typical time of the step's longest task, which is derived from the step's other tasks.
         If the step has too few other tasks or is a gang, the limit is the caller's estimate (if
         there is one) times a high quantile of the queue's ratios of run time to estimate.
         """
@@ -128,7 +128,10 @@
         return max((self._slowdown_by_worker.get(run.worker, 1.0) for run in runs), default=1.0)
 
     def _longest_run_ratios(self) -> dict[str, list[tuple[StepId, float]]]:
-        """Return by queue, for each step, its longest run time divided by its median run time."""
+        """Return by queue the ratio of each step's longest run time to its median run time.
+
+        Before the longest is chosen, each run time is divided by its worker's slowdown.
+        """
         samples: dict[str, list[tuple[StepId, float]]] = defaultdict(list)
         for step, runs in self._runs_by_step.items():
             typical_seconds = _typical_seconds(runs)
--- a/src/onyxspoke/core/append_queue.py
+++ b/src/onyxspoke/core/append_queue.py
@@ -105,7 +105,7 @@
         """Return when the pending records may be sent.
 
         Returns ``None`` if no record is pending or if something other than the minimum
-        interval keeps the records back.
+        interval delays the records.
         """
         if not self.sending_enabled or not self._pending_records or self._in_flight is not None:
             return None
--- a/src/onyxspoke/core/capacity_index.py
+++ b/src/onyxspoke/core/capacity_index.py
@@ -52,7 +52,7 @@
             self._sorted_keys.remove(key)
 
     def best_key(self, needed: Resources, policy: PlacementPolicy) -> BucketKey | None:
-        """Return the key of the policy's best bucket that fits, or ``None`` if no bucket fits."""
+        """Return the policy's best bucket in which a task fits, or ``None`` if it fits in none."""
         for key in self._candidates(needed, policy):
             if _fits(needed, key):
                 return key
@@ -170,7 +170,7 @@
 
 
 def _highest_fitting_share(needed: Resources, capacity: Resources) -> float:
-    """Return the highest occupied share at which a worker can still have room for a task.
+    """Return the highest occupied share at which a task can still fit on a worker.
 
     The task takes at least its smallest share of every resource, so the worker's most
     occupied resource must have at least that share free.
--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -233,7 +233,7 @@
             self.open_jobs.setdefault(state.runner, {})[job_id] = durable_job
 
     def remove_expired_members(self, now: float, member_retention_seconds: float) -> None:
-        """Remove members that own nothing and have been silent for the retention time."""
+        """Remove members that appended nothing for the retention time and hold no worker or job."""
         holders = {
             ownership.holder for ownership in self.ownerships.values()
         } | self.open_jobs.keys()
--- a/src/onyxspoke/core/estimates/speeds.py
+++ b/src/onyxspoke/core/estimates/speeds.py
@@ -15,7 +15,7 @@
 #: If a worker has less evidence than this, in runs, only the speed of its kind is used.
 MINIMUM_EVIDENCE = 1.0
 #: One observation's distance from the worker's mean is clipped to this logarithm, so that a task
-#: of extreme duration doesn't make its worker look slow.
+#: of extreme duration doesn't distort its worker's speed.
 MAXIMUM_DEVIATION_LOG = 0.7
 #: A worker's factor is 1 if the absolute value of its estimated logarithm is below this.
 NEUTRAL_BAND_LOG = 0.18
--- a/src/onyxspoke/core/key_guard.py
+++ b/src/onyxspoke/core/key_guard.py
@@ -30,7 +30,7 @@
 
 
 def scoped_key(request: TaskRequest) -> str:
-    """Return the key prefixed with its tenant, as recorded in the log."""
+    """Return the key as recorded in the log: with its tenant, because tenants share no keys."""
     return f"{request.tenant}/{request.idempotency_key}"
 
 
--- a/src/onyxspoke/core/peer_keeper.py
+++ b/src/onyxspoke/core/peer_keeper.py
@@ -22,7 +22,7 @@
         self._drop_timed_out_peers(now)
 
     def advertise_soon(self) -> None:
-        """Check for a changed advertisement at the next tick, without the usual interval."""
+        """Check for a changed advertisement at the next tick, without waiting for the interval."""
         self._next_check_at = float("-inf")
 
     def _advertise(self, now: float) -> None:
--- a/src/onyxspoke/core/peer_table.py
+++ b/src/onyxspoke/core/peer_table.py
@@ -26,7 +26,7 @@
 
 
 class PeerTable:
-    """Peer entries that the log names, by ID."""
+    """Peer entries found in the log, by ID."""
 
     def __init__(self) -> None:
         self.peers: dict[EntryId, PeerState] = {}
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -326,7 +326,7 @@
         return self._take_actions(now)
 
     def on_holdover_request(self, peer_id: EntryId, round_number: int, now: float) -> list[Action]:
-        """Handle a holdover request of a zone peer that cannot reach the log."""
+        """Handle a holdover request from a zone peer that cannot reach the log."""
         self.holdover.handle_request(peer_id, round_number, now)
         return self._take_actions(now)
 
--- a/src/onyxspoke/core/snapshot.py
+++ b/src/onyxspoke/core/snapshot.py
@@ -1,6 +1,6 @@
 """Snapshots of a stream's state, appended to the log before it drops the older records.
 
-Each snapshot names the offset up to which its state is complete.  A reader that starts
+Each snapshot states the offset up to which its state is complete.  A reader that starts
 after the log has dropped records buffers the batches that it reads until it has read a
 whole snapshot, loads that snapshot, and then applies the later batches.
 """
--- a/src/onyxspoke/core/tenants/quota_borrower.py
+++ b/src/onyxspoke/core/tenants/quota_borrower.py
@@ -10,9 +10,9 @@
 from onyxspoke.core.tenants.policy import TenantName
 from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
-#: Seconds between two requests for more quota, so that jobs that arrive together share a request;
-#: and seconds until a request that was not granted in full is repeated.
+#: Interval between two requests for more quota, in seconds; jobs that arrive together share one.
 REQUEST_INTERVAL_SECONDS = 0.05
+#: Time after which a request that was not granted in full is repeated, in seconds.
 RETRY_SECONDS = 0.25
 #: Unneeded quota is returned after this time, in seconds, because the next jobs may need it soon
 #: and an urgent job would wait 0.03 s for a new loan.
@@ -104,7 +104,7 @@
         return self._return_surplus(tenant, allocation, target, used, now)
 
     def handle_granted(self, request: QuotaRequest, amount: ResourceVector, now: float) -> bool:
-        """Store the granted amount; return whether any resource of it has grown."""
+        """Store the granted amount; return whether it grew for any resource."""
         allocation = self._credits.get(request.tenant)
         if allocation is None or request.number != allocation.number:
             return False
--- a/src/onyxspoke/core/tenants/quota_lender.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -19,8 +19,8 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 QUOTA_PREFIX = "quota/"
-#: A borrower repeats a request that was not granted in full; after this time without a repeat, in
-#: seconds, the request is dropped.
+#: A request that was not granted in full is dropped if its borrower does not repeat it within this
+#: time, in seconds.
 UNMET_REQUEST_SECONDS = 1.5
 
 
@@ -39,8 +39,8 @@
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """A request of a shard's holder to replace its loan of a tenant's quota by another amount.
 
-    The shard keeps using ``retained`` until the answer, so that part is not lent to others
-    meanwhile.
+    The shard keeps using ``retained`` until the answer, so the lender lends that part to nobody
+    else in the meantime.
     """
 
     tenant: TenantName
