--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -12,7 +12,7 @@
 #: The log line of a run's end is assumed to be missing if the time from the run's start to the
 #: last log line is at least this many times the longest run time of the queue.
 MISSING_END_FACTOR = 3.0
-#: Log lines are missing if the phases of a late job leave more of its time unassigned than this.
+#: If more than this of a late job's time is assigned to no phase, log lines are missing.
 MAX_UNASSIGNED_SECONDS = 0.1
 
 
--- a/src/onyxspoke/account/phases.py
+++ b/src/onyxspoke/account/phases.py
@@ -1,7 +1,8 @@
 """Splits a finished job's time into phases along its critical path.
 
 The path is followed backwards from the end of the job: from the task that ended last, through the
-runs of that task, to the last step that ended before it started, and so on to the submission.
+runs of that task, to the last step that ended before that task started, and so on to the
+submission.
 """
 
 from __future__ import annotations
@@ -153,7 +154,7 @@
             else:
                 self._times.add_expected(phase, min(seconds, self._required_run_seconds(task, run)))
             covered_until = max(covered_until, ended_at)
-        # Work saved by a stopped run shortens the last run; as much lost time is expected.
+        # Work that a stopped run saved shortens the last run, so an equal lost time is expected.
         self._times.add_expected(
             Phase.LOST_RUNS, min(lost_seconds, max(0.0, expected_seconds - work_seconds))
         )
--- a/src/onyxspoke/account/typical_run_times.py
+++ b/src/onyxspoke/account/typical_run_times.py
@@ -110,7 +110,7 @@
                 self._runs_by_step[step][task.number] = single_run
 
     def _worker_slowdowns(self) -> dict[str, float]:
-        """Return the median ratio of run time to the step's median for workers with enough runs."""
+        """Return by worker its median ratio of run time to step median, if it has enough runs."""
         ratios: dict[str, list[float]] = defaultdict(list)
         for runs in self._runs_by_step.values():
             typical_seconds = _typical_seconds(runs)
--- a/src/onyxspoke/core/append_queue.py
+++ b/src/onyxspoke/core/append_queue.py
@@ -132,7 +132,7 @@
             self._appends_failing_since = now
 
     def _is_batch_due(self, now: float) -> bool:
-        # The same expression as in next_send_at(): with another rounding, the timer that is set
+        # This is the same expression as in next_send_at(): with another rounding, the timer set
         # from next_send_at() could fire before the batch is due.
         if self._pending_records:
             return now >= self._last_created_at + self._options.minimum_interval_seconds
--- a/src/onyxspoke/core/estimates/evidence.py
+++ b/src/onyxspoke/core/estimates/evidence.py
@@ -31,7 +31,7 @@
 MAXIMUM_PACE_CHANGES = 4
 #: Maximum number of tasks of one step that are compared with each other.
 MAXIMUM_SIBLINGS = 64
-#: Tasks of the step on other workers that are needed as a baseline for a run.
+#: Minimum number of a step's tasks on other workers from which a run's baseline is derived.
 MINIMUM_SIBLINGS = 2
 #: Spread of a work model, as a natural logarithm, at which its baseline has a confidence of 0.5.
 HALF_CONFIDENCE_SPREAD_LOG = 0.15
--- a/src/onyxspoke/core/estimates/speeds.py
+++ b/src/onyxspoke/core/estimates/speeds.py
@@ -19,7 +19,7 @@
 MAXIMUM_DEVIATION_LOG = 0.7
 #: A worker's factor is 1 if the absolute value of its estimated logarithm is below this.
 NEUTRAL_BAND_LOG = 0.18
-#: Workers with enough evidence that are needed for the median of a kind, or of all workers.
+#: Minimum number of workers with enough evidence for the median of a kind, or of all workers.
 MINIMUM_WORKERS = 4
 
 
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -19,9 +19,9 @@
     """Durations of entry leases, in seconds.
 
     A holder's lease ends ``lease_seconds`` after the holder *created* its last renewal.
-    A claimant waits for ``lease_seconds + margin_seconds`` after it *read* that renewal, which
-    happens later than the creation.  The margin covers the difference in rate between two
-    monotonic clocks.
+    A claimant waits for ``lease_seconds + margin_seconds`` after it *read* that renewal.  A
+    renewal is read only after it was created, so the claimant waits longer than the lease lasts.
+    The margin covers the difference in rate between two monotonic clocks.
     """
 
     lease_seconds: float = 5.0
--- a/src/onyxspoke/core/snapshot.py
+++ b/src/onyxspoke/core/snapshot.py
@@ -1,8 +1,8 @@
 """Snapshots of a stream's state, appended to the log before it drops the older records.
 
-Each snapshot states the offset up to which its state is complete.  A reader that starts
-after the log has dropped records buffers the batches that it reads until it has read a
-whole snapshot, loads that snapshot, and then applies the later batches.
+Each snapshot states the offset up to which its state is complete.  If a reader
+starts after the log has dropped records, it buffers batches until it has read a whole
+snapshot.  It then loads that snapshot and applies the later batches.
 """
 
 from __future__ import annotations
--- a/src/onyxspoke/core/tenants/quota_borrower.py
+++ b/src/onyxspoke/core/tenants/quota_borrower.py
@@ -75,7 +75,7 @@
         used : ResourceVector
             The resources that the tenant's runs in this shard use or may be using.
         wanted : ResourceVector
-            The resources of waiting tasks that could start in addition.
+            The further resources needed by waiting tasks that could start.
         """
         allocation = self._credits.get(tenant)
         if allocation is None:
--- a/src/onyxspoke/core/tenants/quota_lender.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -25,7 +25,7 @@
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True):
-    """The resources that one shard may use of a tenant's quota, and the request they answer.
+    """The part of a tenant's quota that is lent to one shard, and the request that it answers.
 
     A request is accepted only if it is newer than the previous one: from a later holder of the
     shard, which has a higher token, or from the same holder with a higher number.
@@ -37,7 +37,7 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A request of a shard's holder to replace its loan of a tenant's quota by another amount.
+    """A request of a shard's holder to change the amount of its loan of a tenant's quota.
 
     The shard keeps using ``retained`` until the answer, so the lender lends that part to nobody
     else in the meantime.
@@ -107,7 +107,7 @@
 
 
 class QuotaLender:
-    """Lends the quotas of tenants whose home shard this is.
+    """Lends the quotas of one home shard's tenants to the other shards.
 
     Free quota goes to the oldest unmet request until that request is granted in full.  Otherwise
     several shards could each hold a part that is too small to start any task.  The other shards
--- a/src/onyxspoke/core/tenants/share_meter.py
+++ b/src/onyxspoke/core/tenants/share_meter.py
@@ -11,8 +11,8 @@
 
 from onyxspoke.core.tenants.policy import TenantName, TenantPolicy
 
-#: Size of the token bucket, in seconds of the tenant's weight: jobs arrive in bursts, and a tenant
-#: that keeps to its weight over one second is entitled to all its jobs.
+#: Size of the token bucket, in seconds of the tenant's weight. Jobs arrive in bursts; with this
+#: size, a tenant that keeps to its weight over one second is entitled to all its jobs.
 BURST_SECONDS = 1.0
 
 
