--- a/src/onyxspoke/account/jobs.py
+++ b/src/onyxspoke/account/jobs.py
@@ -9,10 +9,10 @@
 from onyxspoke.account.phases import CriticalPath, PathTimes, Phase
 from onyxspoke.account.typical_run_times import TypicalRunTimes
 
-#: A run without a logged end is assumed to have ended, with the log line of its end missing, if it
-#: started this many times the longest run time of its queue before the last log line.
+#: The log line of a run's end is assumed to be missing if the time from the run's start to the
+#: last log line is at least this many times the longest run time of the queue.
 MISSING_END_FACTOR = 3.0
-#: Log lines are missing if the phases of a late job leave more of its time unassigned than this.
+#: If more than this of a late job's time is assigned to no phase, log lines are missing.
 MAX_UNASSIGNED_SECONDS = 0.1
 
 
@@ -45,7 +45,7 @@
     outcome: Outcome
     #: Time spent in each phase, in seconds.
     seconds_by_phase: dict[Phase, float] = field(default_factory=dict)
-    #: By phase, the seconds spent beyond the expected ones.
+    #: Seconds by which each phase exceeded its expected time.
     excess_seconds: dict[Phase, float] = field(default_factory=dict)
     is_over_share: bool = False
     #: Number of refused submissions of the job.
--- a/src/onyxspoke/account/phases.py
+++ b/src/onyxspoke/account/phases.py
@@ -1,7 +1,8 @@
 """Splits a finished job's time into phases along its critical path.
 
 The path is followed backwards from the end of the job: from the task that ended last, through the
-runs of that task, to the last step that ended before it started, and so on to the submission.
+runs of that task, to the last step that ended before that task started, and so on to the
+submission.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
         self.expected_seconds[phase] = self.expected_seconds.get(phase, 0.0) + seconds
 
     def excess_seconds(self) -> dict[Phase, float]:
-        """Return by phase the seconds spent beyond the expected ones."""
+        """Return the seconds by which each phase exceeded its expected time."""
         return {
             phase: max(0.0, seconds - self.expected_seconds.get(phase, 0.0))
             for phase, seconds in self.spent_seconds.items()
@@ -118,7 +119,7 @@
         return max([accepted_at, *(end for end in ends.values() if end <= first_start)])
 
     def _required_step_seconds(self, task: TaskId) -> float:
-        """Return the required time of a step: its longest task, with its self-caused failures."""
+        """Return the time of a step's longest task, including failures that its job caused."""
         return max(
             sum(self._required_run_seconds(other, run) for run in runs.values())
             for other, runs in self._job.runs.items()
@@ -153,7 +154,7 @@
             else:
                 self._times.add_expected(phase, min(seconds, self._required_run_seconds(task, run)))
             covered_until = max(covered_until, ended_at)
-        # Work saved by a stopped run shortens the last run, so that much lost time is expected.
+        # Work that a stopped run saved shortens the last run, so an equal lost time is expected.
         self._times.add_expected(
             Phase.LOST_RUNS, min(lost_seconds, max(0.0, expected_seconds - work_seconds))
         )
--- a/src/onyxspoke/account/typical_run_times.py
+++ b/src/onyxspoke/account/typical_run_times.py
@@ -19,7 +19,7 @@
 MIN_OTHER_RUNS = 2
 #: Runs of a step are treated as a gang if all of them end within this time.
 MAX_GANG_END_SPREAD_SECONDS = 0.05
-#: Quantile of the ratios of run time to estimate that bounds the runs of a queue.
+#: Quantile of a queue's ratios of run time to estimate that limits the expected run times.
 ESTIMATE_RATIO_QUANTILE = 0.9
 
 StepId = tuple[str, int, int]
@@ -51,8 +51,8 @@
     def expected_seconds(self, job: JobHistory, task: TaskId, run: RunHistory) -> float:
         """Return the expected time of a successful run, in seconds.
 
-        The expected time is the run time on a worker of typical speed. It is limited to the
-        typical time of the longest task of a step, as derived from the other tasks of the step.
+        The expected time is the run time on a worker of typical speed. It is at most the
+        typical time of the step's longest task, which is derived from the step's other tasks.
         If the step has too few other tasks or is a gang, the limit is the caller's estimate (if
         there is one) times a high quantile of the queue's ratios of run time to estimate.
         """
@@ -110,7 +110,7 @@
                 self._runs_by_step[step][task.number] = single_run
 
     def _worker_slowdowns(self) -> dict[str, float]:
-        """Return the typical ratio of run time to the step's median, by worker with enough runs."""
+        """Return by worker its median ratio of run time to step median, if it has enough runs."""
         ratios: dict[str, list[float]] = defaultdict(list)
         for runs in self._runs_by_step.values():
             typical_seconds = _typical_seconds(runs)
@@ -128,7 +128,10 @@
         return max((self._slowdown_by_worker.get(run.worker, 1.0) for run in runs), default=1.0)
 
     def _longest_run_ratios(self) -> dict[str, list[tuple[StepId, float]]]:
-        """Return by queue, for each step, its longest run time divided by its median run time."""
+        """Return by queue the ratio of each step's longest run time to its median run time.
+
+        Before the longest is chosen, each run time is divided by its worker's slowdown.
+        """
         samples: dict[str, list[tuple[StepId, float]]] = defaultdict(list)
         for step, runs in self._runs_by_step.items():
             typical_seconds = _typical_seconds(runs)
--- a/src/onyxspoke/core/append_queue.py
+++ b/src/onyxspoke/core/append_queue.py
@@ -105,7 +105,7 @@
         """Return when the pending records may be sent.
 
         Returns ``None`` if no record is pending or if something other than the minimum
-        interval keeps the records back.
+        interval delays the records.
         """
         if not self.sending_enabled or not self._pending_records or self._in_flight is not None:
             return None
@@ -132,7 +132,7 @@
             self._appends_failing_since = now
 
     def _is_batch_due(self, now: float) -> bool:
-        # The same expression as in next_send_at(): with another rounding, the timer that is set
+        # This is the same expression as in next_send_at(): with another rounding, the timer set
         # from next_send_at() could fire before the batch is due.
         if self._pending_records:
             return now >= self._last_created_at + self._options.minimum_interval_seconds
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -45,17 +45,18 @@
     repetition_lead_ms : float
         Longest time by which a repetition may start before its scheduled time.
     start_validity_ms : int
-        Time after which a start order that a worker has not carried out expires.
+        Time after which a start order expires if the worker has not carried it out.
     hold_wait_ms : int
         Longest time for which a worker may delay its answer until a run ends.
     hold_interval_seconds : float
-        Pause between two holds to a worker, so that one hold reports ends close together.
+        Pause between two holds to a worker, so that one answer reports several ends that occur
+        close together.
     ownership_proof_seconds : float
         Time after the latest proof of ownership during which the holder may send orders.
     refusal_retry_seconds : float
         Time after which a refused caller is asked to retry.
     load : LoadOptions
-        Components that handle overload.
+        Options for the handling of overload.
     """
 
     maximum_hold_ms: int = 6_000
@@ -105,11 +106,11 @@
         self.actions: list[ShardAction] = []
         self.needs_placement = False
         self.has_stepped_down = False
-        #: Layout of a new cell that is not part of any append yet.
+        #: Layout of a new cell, until an append contains it; otherwise ``None``.
         self.uncommitted_layout: CellLayout | None = None
         #: Time until which no node can claim the shard, because no node reaches the store.
         self.unclaimable_until = 0.0
-        #: Offset from the holder's clock to the time of day, in milliseconds, or ``None``.
+        #: Offset from the holder's clock to the time of day, in milliseconds; ``None`` if unknown.
         self.wall_offset_ms: float | None = None
         #: When the process last found that it had been stalled; another node may have claimed the
         #: shard before that time.
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -77,7 +77,7 @@
         is_complete: bool,
         now: float,
     ) -> None:
-        """Process a listing of the directory; workers missing from a complete one are gone."""
+        """Process a listing of the directory; a worker missing from a complete listing is gone."""
         for record in records:
             self._process_entry(record, now)
         for entry in unusable:
@@ -132,7 +132,8 @@
     def _process_entry(self, record: WorkerRecord, now: float) -> None:
         worker = self._context.table.workers.get(record.worker_id)
         if worker is not None and worker.born_ms and not record.born_ms:
-            # All entries that the worker itself writes contain its start time.
+            # All entries that the worker itself writes contain its start time, so another program
+            # wrote this one.
             self._mark_unusable(UnusableEntry(record.worker_id, EntryFault.NO_START_TIME))
             return
         if worker is not None and record.born_ms in worker.previous_starts_ms:
@@ -189,8 +190,8 @@
 
         It gets runs only once the directory has an entry of it.
         """
-        # The new incarnation may execute an unanswered order to the previous one, and run its task
-        # for one lease.
+        # The new incarnation may execute an order that the previous one has not answered, and run
+        # the ordered task for one lease.
         previous_lease_expires_at = now + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
         worker = Worker(previous.record, previous_lease_expires_at)
         worker.born_ms = born_ms
@@ -233,7 +234,8 @@
             former_gpu=previous.accelerators,
             runs=len(worker.runs),
         )
-        # A step that found no free capacity checks only workers that have gained some since.
+        # A step that did not fit on any worker checks only the workers whose free capacity has
+        # grown since then.
         self._context.table.note_capacity_gain(worker)
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
--- a/src/onyxspoke/core/tenants/quota_lender.py
+++ b/src/onyxspoke/core/tenants/quota_lender.py
@@ -19,13 +19,13 @@
 from onyxspoke.core.tenants.policy import TenantName
 
 QUOTA_PREFIX = "quota/"
-#: A borrower repeats a request that was not granted in full; after this time without a repeat, in
-#: seconds, the request is dropped.
+#: A request that was not granted in full is dropped if its borrower does not repeat it within this
+#: time, in seconds.
 UNMET_REQUEST_SECONDS = 1.5
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True):
-    """The resources that one shard may use of a tenant's quota, and the request they answer.
+    """The part of a tenant's quota that is lent to one shard, and the request that it answers.
 
     A request is accepted only if it is newer than the previous one: from a later holder of the
     shard, which has a higher token, or from the same holder with a higher number.
@@ -37,10 +37,10 @@
 
 
 class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A request of a shard's holder to replace its loan of a tenant's quota by another amount.
+    """A request of a shard's holder to change the amount of its loan of a tenant's quota.
 
-    The shard keeps using ``retained`` until the answer, so that part is not lent to others
-    meanwhile.
+    The shard keeps using ``retained`` until the answer, so the lender lends that part to nobody
+    else in the meantime.
     """
 
     tenant: TenantName
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _UnmetRequest:
-    """The request of a shard that was not granted in full."""
+    """A shard's request that was not granted in full."""
 
     since: float
     asked_at: float
@@ -107,12 +107,12 @@
 
 
 class QuotaLender:
-    """Lends the quotas of tenants whose home shard this is.
+    """Lends the quotas of one home shard's tenants to the other shards.
 
     Free quota goes to the oldest unmet request until that request is granted in full.  Otherwise
     several shards could each hold a part that is too small to start any task.  The other shards
     repeat their requests and return the quota that they do not use.  The waiting time of a shard
-    restarts when the shard starts work.
+    restarts when the shard starts more work.
     """
 
     def __init__(self, home: ShardId) -> None:
@@ -156,7 +156,7 @@
         quota : ResourceVector
             The tenant's quota; an amount of 0 sets no limit.
         used : ResourceVector
-            The resources that the home shard's runs may use.
+            The resources that the home shard's runs use or may be using.
         """
         account = self._accounts.setdefault(request.tenant, _Account())
         previous_loan = account.loans.get(request.shard)
@@ -214,7 +214,7 @@
         return _encoder.encode(loans)
 
     def restore(self, tenant: TenantName, data: bytes) -> None:
-        """Restore the previous holder's loans; raise ``msgspec.MsgspecError``."""
+        """Restore the previous holder's loans; raise ``msgspec.MsgspecError`` if unreadable."""
         if data:
             self._accounts[tenant] = _Account(loans=_decoder.decode(data))
 
