--- a/src/onyxspoke/core/context.py
+++ b/src/onyxspoke/core/context.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.append_queue import AppendOptions, AppendQueue
 from onyxspoke.core.cell_state import CellLimits, CellState
 from onyxspoke.core.codes import ResultCode
-from onyxspoke.core.key_ledger import KeyLedger
+from onyxspoke.core.key_run_store import KeyRunStore
 from onyxspoke.core.log_records import LogStream
 from onyxspoke.core.ownership import LeaseOptions
 from onyxspoke.core.peer_table import PeerTable
@@ -53,7 +53,7 @@
     workers: WorkerTable
     peers: PeerTable
     queue: WaitingQueue
-    ledger: KeyLedger
+    key_runs: KeyRunStore
     machines: dict[WorkerId, MachineRecord] = field(default_factory=dict)
     requests: dict[str, ActiveRequest] = field(default_factory=dict)
     attempts: dict[AttemptId, ActiveRequest] = field(default_factory=dict)
@@ -100,5 +100,5 @@
         workers=WorkerTable(),
         peers=PeerTable(),
         queue=WaitingQueue(options.queue),
-        ledger=KeyLedger(options.maximum_ended_keys),
+        key_runs=KeyRunStore(options.maximum_ended_keys),
     )
--- a/src/onyxspoke/core/holdover.py
+++ b/src/onyxspoke/core/holdover.py
@@ -15,7 +15,7 @@
 _ROUNDS_PER_LEASE = 5
 
 
-class HoldoverKeeper:
+class HoldoverManager:
     """Requests promises from zone peers before this entry's lease ends, and grants promises."""
 
     def __init__(self, context: EntryContext) -> None:
--- a/src/onyxspoke/core/key_guard.py
+++ b/src/onyxspoke/core/idempotency_controller.py
@@ -12,7 +12,7 @@
 from onyxspoke.core.actions import QueryKeyHolder
 from onyxspoke.core.codes import OutcomeKind, ResultCode
 from onyxspoke.core.context import EntryContext
-from onyxspoke.core.key_ledger import KeyRun, KeyWaiter
+from onyxspoke.core.key_run_store import KeyRun, KeyWaiter
 from onyxspoke.core.log_records import KeyIntent, KeyRelease
 from onyxspoke.core.request_dispatcher import RequestDispatcher
 from onyxspoke.core.requests import ActiveRequest, PeerOrigin, RequestState
@@ -34,7 +34,7 @@
     return f"{request.tenant}/{request.idempotency_key}"
 
 
-class KeyGuard:
+class IdempotencyController:
     """Runs one request for each key and answers repeated requests."""
 
     def __init__(self, context: EntryContext, dispatcher: RequestDispatcher) -> None:
@@ -46,7 +46,7 @@
         """Admit a keyed request: run it, join the run in progress, or repeat the answer."""
         key = scoped_key(request.request)
         fingerprint = fingerprint_of(request.request)
-        run = self._context.ledger.get(key)
+        run = self._context.key_runs.get(key)
         if run is not None:
             self._join(request, run, fingerprint, now)
             return
@@ -64,7 +64,7 @@
         """Run the request of an intent just read back, if this entry holds the key."""
         self._pending_intents.pop(intent.key, None)
         entry = self._context.cell.keys.get(intent.key)
-        run = self._context.ledger.get(intent.key)
+        run = self._context.key_runs.get(intent.key)
         is_holder = entry is not None and entry.holder == self._context.identity.entry_id
         request = None if run is None else self._context.requests.get(run.request_id)
         if request is None:
@@ -76,7 +76,7 @@
 
     def handle_query(self, peer_id: EntryId, request_id: str, key: str) -> Answer | None:
         """Return the answer of a key to a peer, or ``None`` while its run is in progress."""
-        run = self._context.ledger.get(key)
+        run = self._context.key_runs.get(key)
         if run is None:
             return Answer(code=ResultCode.KEY_HOLDER_UNREACHABLE)
         if run.answer is None:
@@ -86,10 +86,10 @@
     def handle_answer(self, request: ActiveRequest, answer: Answer) -> list[KeyWaiter]:
         """Store the answer of a request that ran under a key; return the other waiters."""
         key = scoped_key(request.request)
-        run = self._context.ledger.get(key)
+        run = self._context.key_runs.get(key)
         if run is None or run.request_id != request.request_id or run.answer is not None:
             return []
-        waiters = self._context.ledger.finish(key, answer)
+        waiters = self._context.key_runs.finish(key, answer)
         if _did_not_run(answer):
             self._release(key)
         return waiters
@@ -99,14 +99,14 @@
         if not self._pending_intents or not self._context.log_is_down(now):
             return
         for key in list(self._pending_intents):
-            run = self._context.ledger.get(key)
+            run = self._context.key_runs.get(key)
             request = None if run is None else self._context.requests.get(run.request_id)
             if request is not None and request.state is RequestState.WAITING_FOR_LOG:
                 self._refuse(request, ResultCode.KEY_STATE_UNKNOWN, now)
 
     def _record_intent(self, request: ActiveRequest, key: str, fingerprint: int) -> None:
         request.transition(RequestState.WAITING_FOR_LOG)
-        self._context.ledger.begin(key, request.request_id, fingerprint)
+        self._context.key_runs.begin(key, request.request_id, fingerprint)
         intent = KeyIntent(key, fingerprint)
         self._pending_intents[key] = intent
         self._context.cell_append_queue.add(intent)
@@ -133,7 +133,7 @@
         self, request: ActiveRequest, intent: KeyIntent, holder: EntryId, now: float
     ) -> None:
         entry = self._context.cell.keys[intent.key]
-        self._context.ledger.forget(intent.key)
+        self._context.key_runs.forget(intent.key)
         if entry.fingerprint != intent.fingerprint:
             self._refuse(request, ResultCode.KEY_REUSED, now)
         else:
@@ -143,7 +143,7 @@
         """Release a key whose request was answered before its intent was read back."""
         if run is None or run.answer is None or not _did_not_run(run.answer):
             return
-        self._context.ledger.forget(key)
+        self._context.key_runs.forget(key)
         if is_holder:
             self._context.cell_append_queue.add(KeyRelease(key))
 
@@ -152,7 +152,7 @@
         if intent is not None and not self._context.cell_append_queue.withdraw(intent):
             return  # The intent was sent already; reading it back releases the key.
         self._pending_intents.pop(key, None)
-        self._context.ledger.forget(key)
+        self._context.key_runs.forget(key)
         if intent is None:
             self._context.cell_append_queue.add(KeyRelease(key))
 
--- a/src/onyxspoke/core/job_runner.py
+++ b/src/onyxspoke/core/job_runner.py
@@ -17,7 +17,7 @@
     JobReleased,
     TaskStarting,
 )
-from onyxspoke.core.rendezvous import preferred
+from onyxspoke.core.rendezvous import choose_by_rendezvous_hash
 from onyxspoke.core.request_dispatcher import RequestDispatcher
 from onyxspoke.core.requests import ActiveRequest, JobOrigin, RequestState
 from onyxspoke.core.schema import (
@@ -90,7 +90,7 @@
         self._running[job_id] = JobProgress(entry)
         self.recovery.begin(job_id, now)
 
-    def drop_lost(self) -> None:
+    def drop_jobs_not_run_here(self) -> None:
         """Drop the jobs that ended or that another entry has adopted."""
         for job_id, progress in list(self._running.items()):
             if progress.entry.answer is None and self._is_runner(progress.entry):
@@ -102,7 +102,7 @@
                 if request is not None:
                     self._dispatcher.abandon(request)
 
-    def look_for_tasks_on(self, worker_id: WorkerId, now: float) -> None:
+    def recover_tasks_on(self, worker_id: WorkerId, now: float) -> None:
         """Recover the job tasks on a worker that another entry now owns."""
         for request in list(self._context.attempts.values()):
             origin = request.origin
@@ -198,7 +198,7 @@
     def _adopt_if_preferred(
         self, job_id: JobId, runner: EntryId, offset: Offset, live: list[EntryId]
     ) -> None:
-        if preferred(job_id, live) != self._context.identity.entry_id:
+        if choose_by_rendezvous_hash(job_id, live) != self._context.identity.entry_id:
             return
         self._pending_adoptions.add(job_id)
         self._context.takeover_pending_from.add(runner)
--- a/src/onyxspoke/core/key_ledger.py
+++ b/src/onyxspoke/core/key_run_store.py
@@ -27,7 +27,7 @@
     waiters: list[KeyWaiter] = field(default_factory=list)
 
 
-class KeyLedger:
+class KeyRunStore:
     """Key runs in memory; beyond a limit, the run that ended first is evicted."""
 
     def __init__(self, maximum_ended: int) -> None:
--- a/src/onyxspoke/core/log_follower.py
+++ b/src/onyxspoke/core/log_follower.py
@@ -14,9 +14,9 @@
     StateLost,
 )
 from onyxspoke.core.context import EntryContext
+from onyxspoke.core.idempotency_controller import IdempotencyController
 from onyxspoke.core.job_acceptance import JobAcceptance
 from onyxspoke.core.job_runner import JobRunner
-from onyxspoke.core.key_guard import KeyGuard
 from onyxspoke.core.log_records import (
     JobAccepted,
     JobAdopted,
@@ -52,7 +52,7 @@
         self,
         context: EntryContext,
         ownership: OwnershipManager,
-        keys: KeyGuard,
+        keys: IdempotencyController,
         acceptance: JobAcceptance,
         jobs: JobRunner,
         settings_propagation: SettingsPropagation,
@@ -158,7 +158,7 @@
                 context.emit(JobFinished(record.job_id))
             elif isinstance(record, SnapshotPart):
                 self._snapshot_writers[LogStream.CELL].handle_part_read(now)
-        self._jobs.drop_lost()
+        self._jobs.drop_jobs_not_run_here()
         if _changes_ownership(batch.records):
             self._ownership.sync_with_log(now)
         if not batch.stopping:
--- a/src/onyxspoke/core/ownership.py
+++ b/src/onyxspoke/core/ownership.py
@@ -11,7 +11,7 @@
 
 from onyxspoke.core.cell_state import CellState
 from onyxspoke.core.log_records import ClaimItem
-from onyxspoke.core.rendezvous import preferred
+from onyxspoke.core.rendezvous import choose_by_rendezvous_hash
 from onyxspoke.core.schema import EntryId, EntryIdentity, MachineRecord, WorkerId, WorkerListing
 
 
@@ -49,13 +49,15 @@
         self._live_entry_ids: list[EntryId] = []
         self._preferred: dict[WorkerId, EntryId | None] = {}
 
-    def preferred(self, worker_id: WorkerId, live_entry_ids: list[EntryId]) -> EntryId | None:
+    def choose_by_rendezvous_hash(
+        self, worker_id: WorkerId, live_entry_ids: list[EntryId]
+    ) -> EntryId | None:
         """Return the live entry that rendezvous hashing prefers for a worker."""
         if live_entry_ids != self._live_entry_ids:
             self._live_entry_ids = list(live_entry_ids)
             self._preferred.clear()
         if worker_id not in self._preferred:
-            self._preferred[worker_id] = preferred(worker_id, live_entry_ids)
+            self._preferred[worker_id] = choose_by_rendezvous_hash(worker_id, live_entry_ids)
         return self._preferred[worker_id]
 
 
@@ -95,7 +97,9 @@
     for machine in machines:
         if machine.zone != identity.zone:
             continue
-        should_own = cache.preferred(machine.worker_id, live_entry_ids) == identity.entry_id
+        should_own = (
+            cache.choose_by_rendezvous_hash(machine.worker_id, live_entry_ids) == identity.entry_id
+        )
         owns_worker = cell.ownership_of(machine.worker_id).holder == identity.entry_id
         if owns_worker and not should_own:
             releases.append(machine.worker_id)
--- a/src/onyxspoke/core/peer_keeper.py
+++ b/src/onyxspoke/core/peer_manager.py
@@ -7,7 +7,7 @@
 from onyxspoke.core.schema import NO_RESOURCES
 
 
-class PeerKeeper:
+class PeerManager:
     """Advertises capacity when it changes, at a limited rate, and at least once per interval."""
 
     def __init__(self, context: EntryContext) -> None:
--- a/src/onyxspoke/core/peer_table.py
+++ b/src/onyxspoke/core/peer_table.py
@@ -52,11 +52,11 @@
             default=None,
         )
 
-    def note_forwarded(self, peer: PeerState, resources: Resources) -> None:
+    def subtract_forwarded(self, peer: PeerState, resources: Resources) -> None:
         """Subtract a task just forwarded from the peer's advertised capacity."""
         peer.free = peer.free.minus(resources)
 
-    def note_refused(self, peer_id: EntryId) -> None:
+    def mark_full(self, peer_id: EntryId) -> None:
         """Treat a peer as full until its next advertisement."""
         peer = self.peers.get(peer_id)
         if peer is not None:
--- a/src/onyxspoke/core/rendezvous.py
+++ b/src/onyxspoke/core/rendezvous.py
@@ -11,7 +11,7 @@
 import xxhash
 
 
-def preferred(name: str, candidates: Iterable[str]) -> str | None:
+def choose_by_rendezvous_hash(name: str, candidates: Iterable[str]) -> str | None:
     """Return the candidate with the highest hash for a name, ``None`` if there is none."""
     best: tuple[int, str] | None = None
     for candidate in candidates:
--- a/src/onyxspoke/core/request_dispatcher.py
+++ b/src/onyxspoke/core/request_dispatcher.py
@@ -57,7 +57,7 @@
             self.answer(request, self._context.refusal(ResultCode.NO_CAPACITY), now)
             return
         is_job = isinstance(request.origin, JobOrigin)
-        if not is_job and not self._context.queue.has_room_for(len(request.request.payload)):
+        if not is_job and not self._context.queue.has_capacity_for(len(request.request.payload)):
             self.answer(request, self._context.refusal(ResultCode.QUEUE_FULL), now)
             return
         self._context.queue.push(request)
@@ -95,7 +95,7 @@
         if request is None or request.peer_id != peer_id:
             return
         if request.state is RequestState.FORWARDED and answer.outcome is OutcomeKind.NOT_RUN:
-            self._context.peers.note_refused(peer_id)
+            self._context.peers.mark_full(peer_id)
             self._requeue(request, answer.code, now)
         elif request.state in (RequestState.FORWARDED, RequestState.WAITING_FOR_HOLDER):
             self.answer(request, answer, now)
@@ -152,7 +152,7 @@
                 self.answer(request, self._context.refusal(ResultCode.DEADLINE_EXPIRED), now)
         self._compact_deadlines()
 
-    def hang_up(self, request: ActiveRequest, now: float) -> None:
+    def handle_caller_disconnected(self, request: ActiveRequest, now: float) -> None:
         """Cancel a disconnected caller's request if it is neither sent nor keyed.
 
         A sent request runs on, and a retry by key may fetch its answer.
@@ -223,7 +223,7 @@
         self._context.queue.discard(request)
         request.attempts += 1
         request.peer_id = peer.peer_id
-        self._context.peers.note_forwarded(peer, resources)
+        self._context.peers.subtract_forwarded(peer, resources)
         self._context.emit(
             ForwardTask(peer.peer_id, request.request_id, request.request, request.deadline - now)
         )
--- a/src/onyxspoke/core/scheduler.py
+++ b/src/onyxspoke/core/scheduler.py
@@ -14,10 +14,10 @@
 )
 from onyxspoke.core.codes import OutcomeKind, ResultCode
 from onyxspoke.core.context import CoreOptions, make_context
-from onyxspoke.core.holdover import HoldoverKeeper
+from onyxspoke.core.holdover import HoldoverManager
+from onyxspoke.core.idempotency_controller import IdempotencyController
 from onyxspoke.core.job_acceptance import JobAcceptance
 from onyxspoke.core.job_runner import JobRunner
-from onyxspoke.core.key_guard import KeyGuard
 from onyxspoke.core.log_follower import LogFollower
 from onyxspoke.core.log_records import (
     LogBatch,
@@ -26,7 +26,7 @@
     WorkerDrain,
 )
 from onyxspoke.core.ownership_manager import OwnershipManager
-from onyxspoke.core.peer_keeper import PeerKeeper
+from onyxspoke.core.peer_manager import PeerManager
 from onyxspoke.core.planned_stop import PlannedStop
 from onyxspoke.core.request_dispatcher import RequestDispatcher
 from onyxspoke.core.requests import (
@@ -72,11 +72,11 @@
     def __init__(self, identity: EntryIdentity, options: CoreOptions) -> None:
         self.context = make_context(identity, options)
         self.dispatcher = RequestDispatcher(self.context, self._deliver_answer)
-        self.keys = KeyGuard(self.context, self.dispatcher)
+        self.keys = IdempotencyController(self.context, self.dispatcher)
         self.acceptance = JobAcceptance(self.context)
         self.jobs = JobRunner(self.context, self.dispatcher)
         self.ownership = OwnershipManager(self.context)
-        self.holdover = HoldoverKeeper(self.context)
+        self.holdover = HoldoverManager(self.context)
         self.settings_propagation = SettingsPropagation(self.context)
         self.pending_changes = PendingChanges(self.context)
         self.log = LogFollower(
@@ -88,7 +88,7 @@
             self.settings_propagation,
             self.pending_changes,
         )
-        self.peers = PeerKeeper(self.context)
+        self.peers = PeerManager(self.context)
         self.planned_stop = PlannedStop(self.context, self.ownership, self.jobs)
 
     # Requests and jobs
@@ -114,7 +114,7 @@
         """Handle a caller that disconnected before it got its answer."""
         request = self.context.requests.get(request_id)
         if request is not None:
-            self.dispatcher.hang_up(request, now)
+            self.dispatcher.handle_caller_disconnected(request, now)
         return self._take_actions(now)
 
     def on_job(
@@ -163,7 +163,7 @@
     def on_worker_disconnected(self, worker_id: WorkerId, now: float) -> list[Action]:
         """Handle the loss of the connection to a worker."""
         if not self.ownership.handle_disconnect(worker_id):
-            self.jobs.look_for_tasks_on(worker_id, now)
+            self.jobs.recover_tasks_on(worker_id, now)
             self.dispatcher.give_up_attempts(worker_id, now)
         return self._take_actions(now)
 
--- a/src/onyxspoke/core/snapshot_writer.py
+++ b/src/onyxspoke/core/snapshot_writer.py
@@ -6,7 +6,7 @@
 
 from onyxspoke.core.context import EntryContext
 from onyxspoke.core.log_records import LogStream
-from onyxspoke.core.rendezvous import preferred
+from onyxspoke.core.rendezvous import choose_by_rendezvous_hash
 from onyxspoke.core.schema import Offset
 from onyxspoke.core.snapshot import split_snapshot
 
@@ -51,7 +51,7 @@
             now, context.options.lease.member_timeout_seconds
         )
         entry_id = context.identity.entry_id
-        if preferred(f"snapshot-{self._stream.value}", live_member_ids) != entry_id:
+        if choose_by_rendezvous_hash(f"snapshot-{self._stream.value}", live_member_ids) != entry_id:
             return
         self._last_snapshot_at = now
         self._snapshot_count += 1
--- a/src/onyxspoke/core/waiting_queue.py
+++ b/src/onyxspoke/core/waiting_queue.py
@@ -31,7 +31,7 @@
         """Total payload size of the queued requests, in bytes."""
         return self._queued_bytes
 
-    def has_room_for(self, payload_bytes: int) -> bool:
+    def has_capacity_for(self, payload_bytes: int) -> bool:
         """Return whether the queue can take a request with ``payload_bytes`` of payload."""
         return (
             len(self._payload_bytes_by_id) < self._limits.maximum_queued
