--- a/src/onyxspoke/core/placement/advice_targets.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -2,8 +2,8 @@
 
 A call takes longer the more workers it names, and the service handles one call per entry at a
 time.  So a call names only as many workers as are likely to provide the capacity that the step
-needs.  When each call named about a hundred workers, the calls of one queue waited behind those of
-gangs, and in a cell of 299 workers the steps of that queue hardly ran at all.
+needs.  If each call named very many workers, the calls of one queue would wait behind those of
+gangs, and the steps of that queue would hardly run.
 """
 
 from __future__ import annotations
--- a/src/onyxspoke/core/shard/quota_coordinator.py
+++ b/src/onyxspoke/core/shard/quota_coordinator.py
@@ -20,8 +20,7 @@
     A tenant has one quota for the whole cell.  The tenant's home shard may use all of the quota
     except the amounts that it has lent to other shards.  Other shards request quota for their
     waiting tasks.  The quota is not divided equally between the shards, because a large gang would
-    never fit into the part of its shard.  With equal parts, the value of simulated days was 0.69 at
-    3 shards and 0.39 at 8 shards; with loans it is 0.86 at both.
+    never fit into the part of its shard, and the more shards there are, the smaller the parts.
     """
 
     def __init__(self, context: ShardContext) -> None:
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -51,8 +51,8 @@
         """Reserve capacity for the tasks of a step; order the starts once they are recorded.
 
         Without the record, a new holder would not know which tasks an unreachable worker may be
-        running, and could start no waiting task until that worker's lease has expired.  After
-        a network failure had cut off a zone and the holder in it, almost nothing started for 6 s.
+        running, and could start no waiting task until that worker's lease has expired.  If a
+        network failure cuts off a zone and the holder in it, that would stop nearly all starts.
         """
         step = plan.step
         gang = None
