--- a/features/large_cells.feature
+++ b/features/large_cells.feature
@@ -57,7 +57,7 @@
     When a node larger than all others joins
     Then all of its peers are notified
 
-  Scenario: Nodes that can reach the store read a new configuration there and forward no copies
+  Scenario: Only a node that cannot reach the store is sent copies of a new configuration
     Given a large cell of 12 nodes and 6 shards, whose store serves 100 writes and 500 reads per second
     When 4 seconds pass in the large cell
     And its configuration changes while one node is cut off from the store
--- a/features/shards.feature
+++ b/features/shards.feature
@@ -73,7 +73,7 @@
     When jobs are simulated in three shards with random faults, for seeds 1 to 25
     Then nothing that must hold is broken
 
-  Scenario: The successors are the larger nodes, in a different order for each shard
+  Scenario: The successors are listed by decreasing weight, and several nodes come first for some shard
     Given 20 small and 6 large candidate successors
     Then each of 12 shards has 8 successors, in order of decreasing weight
     And at least 4 different nodes are the first successor of some shard
--- a/features/steps/advice_failure_steps.py
+++ b/features/steps/advice_failure_steps.py
@@ -371,12 +371,12 @@
     for call in harness.in_flight:
         harness.answer(call, call.call_id, AdviceOutcome.ANSWERED)
     harness.run(5.0)
-    context.sent_count = harness.dispatched_calls[sent_count:]
+    context.sent_calls = harness.dispatched_calls[sent_count:]
 
 
 @then("no call is made about these three steps, and calls are made about all others")
 def _check_unneeded_not_called(context: Any) -> None:
-    called = {call.step for call in context.sent_count}
+    called = {call.step for call in context.sent_calls}
     assert not called & {step.key for step in context.unneeded}
     assert len(called) == len(context.steps) - 2 - len(context.unneeded)
 
--- a/features/steps/slow_store_steps.py
+++ b/features/steps/slow_store_steps.py
@@ -147,7 +147,7 @@
 
 @when("the queue sends two appends")
 def _send_two_appends(context: Any) -> None:
-    context.append_queues = []
+    context.sent_appends = []
     for number in (1, 2):
         context.dirty.append(ShardRecord(f"job/{number}", b"accepted"))
         context.commit_queue.after_commit(
@@ -155,7 +155,7 @@
         )
         append = context.commit_queue.next_append(context.now)
         assert append is not None and append.sequence == number
-        context.append_queues.append((append.sequence, context.now))
+        context.sent_appends.append((append.sequence, context.now))
         context.now += 0.06
 
 
@@ -165,22 +165,22 @@
 
     def collect_with_effect(maximum_bytes: int) -> list[ShardRecord]:
         records = collect(maximum_bytes)
-        number = len(context.append_queues) + 1
+        number = len(context.sent_appends) + 1
         context.commit_queue.after_commit(lambda _now: context.effects.append(number))
         return records
 
-    context.append_queues = []
+    context.sent_appends = []
     context.commit_queue.collect = collect_with_effect
     for number in (1, 2):
         context.dirty.append(ShardRecord(f"job/{number}", b"ended"))
         append = context.commit_queue.next_append(context.now)
         assert append is not None and append.sequence == number
-        context.append_queues.append((append.sequence, context.now))
+        context.sent_appends.append((append.sequence, context.now))
         context.now += 0.06
 
 
 def _answer(context: Any, number: int, outcome: AppendOutcome) -> bool:
-    sequence, sent_at = context.append_queues[number - 1]
+    sequence, sent_at = context.sent_appends[number - 1]
     result = AppendResult(outcome, call_seconds=0.2)
     context.is_held = context.commit_queue.handle_result(sequence, sent_at, result, context.now)
     return bool(context.is_held)
@@ -215,7 +215,7 @@
     context.now += 0.2
     again = context.commit_queue.next_append(context.now)
     assert again is not None and again.sequence == 2, again
-    context.append_queues[1] = (again.sequence, context.now)
+    context.sent_appends[1] = (again.sequence, context.now)
 
 
 @then("the queue reports that the shard is still held")
--- a/features/tasks_that_crash_workers.feature
+++ b/features/tasks_that_crash_workers.feature
@@ -87,7 +87,7 @@
     And 30 seconds pass in that cell
     Then 24 of the 24 jobs are shown as completed
 
-  Scenario Outline: Why a worker's incarnation has ended: <case>
+  Scenario Outline: Whether a worker has crashed, was partitioned or has left: <case>
     Given a worker that was <listing> when it last answered, and is <now listed>
     When its incarnation counts as ended because <reason>
     Then it <outcome>
--- a/src/onyxspoke/core/request_dispatcher.py
+++ b/src/onyxspoke/core/request_dispatcher.py
@@ -153,7 +153,7 @@
         self._compact_deadlines()
 
     def handle_caller_disconnected(self, request: ActiveRequest, now: float) -> None:
-        """Cancel a disconnected caller's request if it is neither sent nor keyed.
+        """Cancel a disconnected caller's request if it was not sent and has no key.
 
         A sent request runs on, and a retry by key may fetch its answer.
         """
