--- a/features/steps/naive.py
+++ b/features/steps/naive.py
@@ -1,8 +1,8 @@
-"""Naive versions: plain, slow and obviously right."""
+"""Naive models for differential tests: simple, slow and easy to verify by reading."""
 
 
 class NaiveSettings:
-    """One dictionary; changes come one after the other."""
+    """Settings in one dictionary; changes are applied one after the other."""
 
     def __init__(self):
         self.values = {}
@@ -26,8 +26,8 @@
             path = path.rpartition("/")[0]
 
 
-class NaiveLedger:
-    """Who holds each worker; a claim is right if nothing happened since its writer looked."""
+class NaiveOwnership:
+    """The holder of each worker; a claim fails if worker or holder changed since its read."""
 
     def __init__(self):
         self.holders = {}
@@ -51,7 +51,7 @@
 
 
 class NaiveCell:
-    """Runs every request at once, exactly once for each key."""
+    """Runs every request immediately, and exactly once for each nonce."""
 
     def __init__(self, digest_of):
         self._digest_of = digest_of
@@ -62,8 +62,8 @@
         return self.answers[nonce]
 
 
-def naive_has_room(task_class, workers):
-    """Scan everything."""
+def naive_has_free_capacity(task_class, workers):
+    """Return whether any worker has free capacity for a task of the class, by a full scan."""
     for worker in workers:
         if task_class.generations and worker.machine.generation not in task_class.generations:
             continue
--- a/src/onyxspoke/core/admission/decider.py
+++ b/src/onyxspoke/core/admission/decider.py
@@ -3,8 +3,13 @@
 A job that certainly expires before it finishes is refused; a job that certainly finishes in time is
 admitted.  In between, a job is admitted if its tenant is entitled to it, or if it is a timely
 retry of a refused job.  A job within its tenant's share that may still meet its objective is
-admitted whatever waits, because a result on time is worth more than a late one.  No other job is
-admitted if it would make an admitted late job of the same rank class expire.
+admitted whatever waits, because a result on time is worth more than a late one.  Any other job is
+refused if it would make an admitted late job of the same rank class expire.
+
+A job without an end or an objective is always admitted.  Any other job is refused if it needs more
+than its tenant's whole quota, and admitted if the capacity of its service is unknown.  A job that
+these rules would refuse for another reason is admitted all the same if free workers could run it
+now and advice for it arrives in time.
 """
 
 from __future__ import annotations
@@ -19,7 +24,7 @@
     Verdict,
     VerdictInputs,
 )
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR
 
 #: Minimum and maximum retry time of a refusal, in seconds.
@@ -39,7 +44,7 @@
         inputs = _verdict_inputs(job, delay or DurationBounds(0.0, 0.0), view, now)
         if not job.is_finite or job.objective_seconds <= 0.0:
             return Admit(inputs)
-        if job.exceeds_quota(view.quotas.get(job.tenant, Needs())):
+        if job.exceeds_quota(view.quotas.get(job.tenant, ResourceVector())):
             return Refuse(RefusalReason.TOO_LATE, MAX_RETRY_SECONDS, inputs)
         if delay is None:
             return Admit(inputs)
@@ -75,7 +80,7 @@
     is_uncertain = verdict.reason is RefusalReason.IN_DOUBT
     if is_uncertain and not job.rank.is_over_share:
         return verdict.retry_after_seconds
-    # The job's own width is left out: narrower jobs of the queue may still be admitted.
+    # The work of the job itself is left out: smaller jobs of the queue may still be admitted.
     delay, duration_seconds = inputs.start_delay_seconds, job.chain_median_seconds
     if is_uncertain:
         delay, duration_seconds = inputs.start_delay_upper_seconds, job.chain_upper_seconds
--- a/src/onyxspoke/core/admission/resource_pool.py
+++ b/src/onyxspoke/core/admission/resource_pool.py
@@ -23,7 +23,7 @@
     WorkEstimate,
     horizon_for,
 )
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 from onyxspoke.core.placement.queue_order import EXPIRY_FACTOR, Lateness, StepRank
 from onyxspoke.core.placement.reservations import MAX_HELD_CAPACITY_SHARE
 
@@ -31,8 +31,8 @@
 WORST_CASE_USED_SHARE = 1.0 - MAX_HELD_CAPACITY_SHARE
 
 
-def dominant_share(needs: Needs, total: Needs) -> float:
-    """Return the largest share of any resource that an amount takes of a total."""
+def dominant_share(needs: ResourceVector, total: ResourceVector) -> float:
+    """Return an amount as a share of a total, for the resource of which it takes most."""
     share = needs[0] / total[0] if total[0] > 0 else 0.0
     if needs[1] > 0 and total[1] > 0:
         share = max(share, needs[1] / total[1])
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    total : Needs
+    total : ResourceVector
         Capacity of the pool; shares are relative to it.
     waiting_work : list of WaitingWork
         Work that waits for the pool, in queue order.
@@ -91,7 +91,7 @@
         Waiting work of late jobs that have not expired.
     """
 
-    total: Needs
+    total: ResourceVector
     waiting_work: list[WaitingWork]
     held: list[HeldCapacity]
     best_case_capacity_factor: float = 1.0
@@ -116,7 +116,7 @@
         worst_case_curve = self._capacity_curve(rank.priority)
         smallest_task_share = self._smallest_task_share(job)
         arrival_rate = self._arrival_rate_before(rank_class_of(rank))
-        # When the last task ahead starts, the running tasks are half finished on average.
+        # When the last task before the job starts, running tasks are half finished on average.
         best_seconds = best_case_curve.seconds_until(work_ahead.low) - work_ahead.task_seconds / 2.0
         earliest_seconds = best_case_curve.seconds_until_free(
             min(smallest_task_share, self.best_case_capacity_factor)
@@ -135,7 +135,7 @@
         return min(shares, default=0.0)
 
     def share_left_for(self, rank: StepRank) -> float:
-        """Return the share of the capacity that arrivals of earlier rank leave for a job."""
+        """Return the share of the capacity that arrivals of earlier ranks leave for a rank."""
         return 1.0 - min(MAX_ARRIVAL_SHARE, self._arrival_rate_before(rank_class_of(rank)))
 
     def _arrival_rate_before(self, rank_class: RankClass) -> float:
@@ -225,7 +225,7 @@
         return WorkEstimate(low, high, longest_task_seconds)
 
     def _capacity_curve(self, priority: int, *, is_best_case: bool = False) -> FreeCapacityCurve:
-        """Return the capacity that becomes free for a queue of a priority.
+        """Return the capacity that becomes free for the queues of one priority.
 
         In the best case, workers that are not reconciled yet are counted, because they may be idle
         and answer at any moment.
@@ -243,7 +243,7 @@
     def _make_capacity_curve(
         self, priority: int, total: float, held: list[HeldCapacity]
     ) -> FreeCapacityCurve:
-        """Return the capacity that becomes free for a queue of a priority.
+        """Return the capacity that becomes free for the queues of one priority.
 
         Preemptible runs of queues with lower priority release their share as soon as they can stop.
         """
--- a/src/onyxspoke/core/cell_state.py
+++ b/src/onyxspoke/core/cell_state.py
@@ -1,8 +1,8 @@
-"""The state of the cell that every entry folds identically from the log.
+"""State of the cell, which every entry rebuilds by replaying the cell stream of the log.
 
-The fold depends on nothing but the records and their order, so two readers of the
-same prefix agree.  ``seen_at`` is the one local fact: when this reader read a
-member's last batch, on its own monotonic clock.
+The state depends only on the records and their order, so two readers of the same prefix
+of the log have the same state.  The only local value is ``last_seen_at``: the time, on the
+reader's own monotonic clock, at which this reader read a member's last batch.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 from onyxspoke.core.schema import Answer, EntryId, Epoch, JobId, JobSubmission, Offset, WorkerId
 from onyxspoke.core.snapshot import (
     CellSnapshot,
-    HoldingState,
     JobState,
     KeyState,
     MemberState,
+    OwnershipState,
 )
 
 
 @dataclass(slots=True)
 class Member:
-    """An entry, as its batches in the log show it."""
+    """An entry that has appended to the log, with the data of its last batch."""
 
     entry_id: EntryId
     zone: str
@@ -50,62 +50,64 @@
     stopping: bool
     last_sequence: int
     last_offset: Offset
-    seen_at: float
+    last_seen_at: float
 
 
-class Holding(msgspec.Struct, frozen=True):
-    """Who owns a worker; ``holder`` is empty once it was released."""
+class WorkerOwnership(msgspec.Struct, frozen=True):
+    """The owner of a worker; ``holder`` is empty if the worker was never claimed or is released."""
 
     holder: EntryId
     epoch: Epoch
 
 
-class KeyEntry(msgspec.Struct, frozen=True):
-    """Which entry holds an idempotency key, and for which request."""
+class KeyOwnership(msgspec.Struct, frozen=True):
+    """The entry that holds an idempotency key, and the fingerprint of the key's request."""
 
     holder: EntryId
     fingerprint: int
 
 
 @dataclass(slots=True)
-class JobEntry:
-    """A durable job; ``answer`` is ``None`` until it ended, ``runner`` empty once released.
+class DurableJob:
+    """A durable job.
 
-    ``started`` names the tasks of an unrepeatable job that may have been started.
+    ``answer`` is ``None`` until the job has ended.  ``runner`` is empty while the job is
+    released.  ``started_indexes`` has the indexes of the tasks of an unrepeatable job that
+    may have been started.
     """
 
     job: JobSubmission
     zone: str
     runner: EntryId
     answer: Answer | None = None
-    started: set[int] = field(default_factory=set)
+    started_indexes: set[int] = field(default_factory=set)
 
 
 class CellLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of what a reader remembers.
+    """Largest numbers of keys and ended jobs that a reader keeps.
 
-    They are counts, not times, so that every reader forgets the same records.
+    The limits are counts instead of times, so that every reader drops the same records.
     """
 
     maximum_keys: int = 20_000
     maximum_ended_jobs: int = 5_000
 
 
-UNOWNED = Holding(holder="", epoch=0)
+UNOWNED = WorkerOwnership(holder="", epoch=0)
 
 
 class CellState:
-    """Fold of the cell stream."""
+    """State that results from applying the batches of the cell stream in order."""
 
     def __init__(self, limits: CellLimits) -> None:
         self._limits = limits
         self.members: dict[EntryId, Member] = {}
-        self.holdings: dict[WorkerId, Holding] = {}
+        self.ownerships: dict[WorkerId, WorkerOwnership] = {}
         self.draining: set[WorkerId] = set()
-        self.keys: OrderedDict[str, KeyEntry] = OrderedDict()
-        self.jobs: dict[JobId, JobEntry] = {}
-        self.open_jobs: dict[EntryId, dict[JobId, JobEntry]] = {}
-        self._ended_jobs: OrderedDict[JobId, None] = OrderedDict()
+        self.keys: OrderedDict[str, KeyOwnership] = OrderedDict()
+        self.jobs: dict[JobId, DurableJob] = {}
+        self.open_jobs: dict[EntryId, dict[JobId, DurableJob]] = {}
+        self._ended_job_ids: OrderedDict[JobId, None] = OrderedDict()
         self.applied_offset: Offset = 0
         self._handlers: dict[type, Callable[[Offset, EntryId, Any], None]] = {
             WorkerClaim: self._apply_claims,
@@ -121,7 +123,7 @@
         }
 
     def apply(self, offset: Offset, batch: LogBatch, now: float) -> bool:
-        """Fold one batch; return ``False`` if it is a repeat and changed nothing."""
+        """Apply one batch; return ``False`` if the batch is a repeat and was ignored."""
         self.applied_offset = offset
         if not self._apply_member(offset, batch, now):
             return False
@@ -129,28 +131,30 @@
             self._apply_record(offset, batch.writer, record)
         return True
 
-    def holding_of(self, worker_id: WorkerId) -> Holding:
-        """Return who owns a worker."""
-        return self.holdings.get(worker_id, UNOWNED)
+    def ownership_of(self, worker_id: WorkerId) -> WorkerOwnership:
+        """Return the current ownership of a worker."""
+        return self.ownerships.get(worker_id, UNOWNED)
 
-    def live_members(self, zone: str, now: float, lapse_seconds: float) -> list[EntryId]:
-        """Return the members of a zone that were heard of lately and are not stopping."""
+    def live_members(self, zone: str, now: float, member_timeout_seconds: float) -> list[EntryId]:
+        """Return the members of a zone that appended recently and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
-            if member.zone == zone and not member.stopping and now - member.seen_at < lapse_seconds
+            if member.zone == zone
+            and not member.stopping
+            and now - member.last_seen_at < member_timeout_seconds
         ]
 
-    def all_live_members(self, now: float, lapse_seconds: float) -> list[EntryId]:
-        """Return the members of all zones that were heard of lately and are not stopping."""
+    def all_live_members(self, now: float, member_timeout_seconds: float) -> list[EntryId]:
+        """Return the members of all zones that appended recently and are not stopping."""
         return [
             member.entry_id
             for member in self.members.values()
-            if not member.stopping and now - member.seen_at < lapse_seconds
+            if not member.stopping and now - member.last_seen_at < member_timeout_seconds
         ]
 
     def to_snapshot(self) -> CellSnapshot:
-        """Return the fold as records; local facts are left out."""
+        """Return the state as a snapshot, without the local values."""
         members = [
             MemberState(
                 member.entry_id,
@@ -163,21 +167,35 @@
             )
             for member in self.members.values()
         ]
-        holdings = [
-            HoldingState(worker_id, holding.holder, holding.epoch)
-            for worker_id, holding in self.holdings.items()
+        ownerships = [
+            OwnershipState(worker_id, ownership.holder, ownership.epoch)
+            for worker_id, ownership in self.ownerships.items()
+        ]
+        keys = [
+            KeyState(key, key_ownership.holder, key_ownership.fingerprint)
+            for key, key_ownership in self.keys.items()
+        ]
+        ended_jobs = [self.jobs[job_id] for job_id in self._ended_job_ids]
+        running_jobs = [
+            durable_job for jobs in self.open_jobs.values() for durable_job in jobs.values()
         ]
-        keys = [KeyState(key, entry.holder, entry.fingerprint) for key, entry in self.keys.items()]
-        ended = [self.jobs[job_id] for job_id in self._ended_jobs]
-        running = [entry for jobs in self.open_jobs.values() for entry in jobs.values()]
         jobs = [
-            JobState(entry.job, entry.zone, entry.runner, entry.answer, sorted(entry.started))
-            for entry in [*ended, *running]
+            JobState(
+                durable_job.job,
+                durable_job.zone,
+                durable_job.runner,
+                durable_job.answer,
+                sorted(durable_job.started_indexes),
+            )
+            for durable_job in [*ended_jobs, *running_jobs]
         ]
-        return CellSnapshot(members, holdings, sorted(self.draining), keys, jobs)
+        return CellSnapshot(members, ownerships, sorted(self.draining), keys, jobs)
 
     def load_snapshot(self, snapshot: CellSnapshot, covers: Offset, now: float) -> None:
-        """Replace the fold; every member counts as heard of now, so none is taken over early."""
+        """Replace the state by a snapshot.
+
+        Every member counts as seen now, so that no member's workers are claimed too early.
+        """
         self.applied_offset = covers
         self.members = {
             state.entry_id: Member(
@@ -188,38 +206,44 @@
                 stopping=state.stopping,
                 last_sequence=state.last_sequence,
                 last_offset=state.last_offset,
-                seen_at=now,
+                last_seen_at=now,
             )
             for state in snapshot.members
         }
-        self.holdings = {
-            state.worker_id: Holding(state.holder, state.epoch) for state in snapshot.holdings
+        self.ownerships = {
+            state.worker_id: WorkerOwnership(state.holder, state.epoch)
+            for state in snapshot.ownerships
         }
         self.draining = set(snapshot.draining)
         self.keys = OrderedDict(
-            (state.key, KeyEntry(state.holder, state.fingerprint)) for state in snapshot.keys
+            (state.key, KeyOwnership(state.holder, state.fingerprint)) for state in snapshot.keys
         )
         for state in snapshot.jobs:
             self._load_job(state)
 
     def _load_job(self, state: JobState) -> None:
         job_id = state.job.job_id
-        entry = JobEntry(state.job, state.zone, state.runner, state.answer, set(state.started))
-        self.jobs[job_id] = entry
+        durable_job = DurableJob(
+            state.job, state.zone, state.runner, state.answer, set(state.started_indexes)
+        )
+        self.jobs[job_id] = durable_job
         if state.answer is not None:
-            self._ended_jobs[job_id] = None
+            self._ended_job_ids[job_id] = None
         else:
-            self.open_jobs.setdefault(state.runner, {})[job_id] = entry
-
-    def forget_members(self, now: float, forget_seconds: float) -> None:
-        """Drop members that hold nothing and have been silent for long."""
-        holders = {holding.holder for holding in self.holdings.values()} | self.open_jobs.keys()
-        silent = [
+            self.open_jobs.setdefault(state.runner, {})[job_id] = durable_job
+
+    def remove_expired_members(self, now: float, member_retention_seconds: float) -> None:
+        """Remove members that appended nothing for the retention time and hold no worker or job."""
+        holders = {
+            ownership.holder for ownership in self.ownerships.values()
+        } | self.open_jobs.keys()
+        expired_member_ids = [
             member.entry_id
             for member in self.members.values()
-            if now - member.seen_at > forget_seconds and member.entry_id not in holders
+            if now - member.last_seen_at > member_retention_seconds
+            and member.entry_id not in holders
         ]
-        for entry_id in silent:
+        for entry_id in expired_member_ids:
             del self.members[entry_id]
 
     def _apply_member(self, offset: Offset, batch: LogBatch, now: float) -> bool:
@@ -234,7 +258,7 @@
             stopping=batch.stopping,
             last_sequence=batch.sequence,
             last_offset=offset,
-            seen_at=now,
+            last_seen_at=now,
         )
         return True
 
@@ -248,18 +272,20 @@
             self._apply_claim(offset, writer, item)
 
     def _apply_claim(self, offset: Offset, writer: EntryId, item: ClaimItem) -> None:
-        current = self.holding_of(item.worker_id)
+        current = self.ownership_of(item.worker_id)
         if current.epoch != item.expected_epoch:
             return
-        is_foreign = current.holder not in ("", writer)
-        if is_foreign and self.has_appended_since(current.holder, item.holder_renewal_offset):
+        is_owned_by_other = current.holder not in ("", writer)
+        if is_owned_by_other and self.has_appended_since(
+            current.holder, item.holder_renewal_offset
+        ):
             return
-        self.holdings[item.worker_id] = Holding(holder=writer, epoch=offset)
+        self.ownerships[item.worker_id] = WorkerOwnership(holder=writer, epoch=offset)
 
     def _apply_release(self, offset: Offset, writer: EntryId, record: WorkerRelease) -> None:
         for worker_id in record.worker_ids:
-            if self.holding_of(worker_id).holder == writer:
-                self.holdings[worker_id] = Holding(holder="", epoch=offset)
+            if self.ownership_of(worker_id).holder == writer:
+                self.ownerships[worker_id] = WorkerOwnership(holder="", epoch=offset)
 
     def _apply_drain(self, _offset: Offset, _writer: EntryId, record: WorkerDrain) -> None:
         if record.draining:
@@ -270,64 +296,68 @@
     def _apply_key_intent(self, _offset: Offset, writer: EntryId, record: KeyIntent) -> None:
         if record.key in self.keys:
             return
-        self.keys[record.key] = KeyEntry(holder=writer, fingerprint=record.fingerprint)
+        self.keys[record.key] = KeyOwnership(holder=writer, fingerprint=record.fingerprint)
         if len(self.keys) > self._limits.maximum_keys:
             self.keys.popitem(last=False)
 
     def _apply_key_release(self, _offset: Offset, writer: EntryId, record: KeyRelease) -> None:
-        entry = self.keys.get(record.key)
-        if entry is not None and entry.holder == writer:
+        key_ownership = self.keys.get(record.key)
+        if key_ownership is not None and key_ownership.holder == writer:
             del self.keys[record.key]
 
     def has_appended_since(self, entry_id: EntryId, offset: Offset) -> bool:
-        """Return whether an entry is known and has appended anything after an offset."""
+        """Return whether a known entry's last batch is at another offset than the given one."""
         member = self.members.get(entry_id)
         return member is not None and member.last_offset != offset
 
     def _apply_job_accepted(self, _offset: Offset, writer: EntryId, record: JobAccepted) -> None:
         job_id = record.job.job_id
         if job_id not in self.jobs:
-            entry = JobEntry(record.job, self.members[writer].zone, writer)
-            self.jobs[job_id] = entry
-            self.open_jobs.setdefault(writer, {})[job_id] = entry
+            durable_job = DurableJob(record.job, self.members[writer].zone, writer)
+            self.jobs[job_id] = durable_job
+            self.open_jobs.setdefault(writer, {})[job_id] = durable_job
 
     def _apply_task_starting(self, _offset: Offset, writer: EntryId, record: TaskStarting) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is not None and entry.runner == writer:
-            entry.started.add(record.task_index)
+        durable_job = self.jobs.get(record.job_id)
+        if durable_job is not None and durable_job.runner == writer:
+            durable_job.started_indexes.add(record.task_index)
 
     def _apply_job_adopted(self, _offset: Offset, writer: EntryId, record: JobAdopted) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is None or entry.answer is not None or entry.runner != record.previous_runner:
+        durable_job = self.jobs.get(record.job_id)
+        if (
+            durable_job is None
+            or durable_job.answer is not None
+            or durable_job.runner != record.previous_runner
+        ):
             return
         if self.has_appended_since(record.previous_runner, record.runner_renewal_offset):
             return
-        self._move_job(record.job_id, entry, writer)
+        self._set_job_runner(record.job_id, durable_job, writer)
 
     def _apply_job_released(self, _offset: Offset, writer: EntryId, record: JobReleased) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is not None and entry.answer is None and entry.runner == writer:
-            entry.started.clear()
-            self._move_job(record.job_id, entry, "")
-
-    def _move_job(self, job_id: JobId, entry: JobEntry, runner: EntryId) -> None:
-        self._close_job(job_id, entry)
-        entry.runner = runner
-        self.open_jobs.setdefault(runner, {})[job_id] = entry
-
-    def _close_job(self, job_id: JobId, entry: JobEntry) -> None:
-        jobs = self.open_jobs[entry.runner]
+        durable_job = self.jobs.get(record.job_id)
+        if durable_job is not None and durable_job.answer is None and durable_job.runner == writer:
+            durable_job.started_indexes.clear()
+            self._set_job_runner(record.job_id, durable_job, "")
+
+    def _set_job_runner(self, job_id: JobId, durable_job: DurableJob, runner: EntryId) -> None:
+        self._remove_open_job(job_id, durable_job)
+        durable_job.runner = runner
+        self.open_jobs.setdefault(runner, {})[job_id] = durable_job
+
+    def _remove_open_job(self, job_id: JobId, durable_job: DurableJob) -> None:
+        jobs = self.open_jobs[durable_job.runner]
         del jobs[job_id]
         if not jobs:
-            del self.open_jobs[entry.runner]
+            del self.open_jobs[durable_job.runner]
 
     def _apply_job_ended(self, _offset: Offset, writer: EntryId, record: JobEnded) -> None:
-        entry = self.jobs.get(record.job_id)
-        if entry is None or entry.answer is not None or entry.runner != writer:
+        durable_job = self.jobs.get(record.job_id)
+        if durable_job is None or durable_job.answer is not None or durable_job.runner != writer:
             return
-        entry.answer = record.answer
-        self._close_job(record.job_id, entry)
-        self._ended_jobs[record.job_id] = None
-        if len(self._ended_jobs) > self._limits.maximum_ended_jobs:
-            oldest, _ = self._ended_jobs.popitem(last=False)
-            del self.jobs[oldest]
+        durable_job.answer = record.answer
+        self._remove_open_job(record.job_id, durable_job)
+        self._ended_job_ids[record.job_id] = None
+        if len(self._ended_job_ids) > self._limits.maximum_ended_jobs:
+            oldest_job_id, _ = self._ended_job_ids.popitem(last=False)
+            del self.jobs[oldest_job_id]
--- a/src/onyxspoke/core/placement/advice_targets.py
+++ b/src/onyxspoke/core/placement/advice_targets.py
@@ -2,7 +2,8 @@
 
 A call takes longer the more workers it names, and the service handles one call per entry at a
 time.  So a call names only as many workers as are likely to provide the capacity that the step
-needs.  Long calls would also queue behind the calls of gangs and starve the steps of other queues.
+needs.  If each call named very many workers, the calls of one queue would wait behind those of
+gangs, and the steps of that queue would hardly run.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 import zlib
 from collections.abc import Callable, Iterable
 
-from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import AdvicePolicy, WorkerId
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks
 from onyxspoke.core.placement.schedulable_workers import SchedulableWorkers, has_label
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.spreading import task_counts_by_worker
@@ -66,7 +67,7 @@
         self._schedulable = schedulable
         self._free_capacity = free_capacity
         self._approval_rate = approval_rate
-        self._task_limit = step.most_on_a_worker
+        self._task_limit = step.max_tasks_per_worker
         #: Number of the step's tasks on each worker; empty unless the step has a spread limit.
         self._task_counts = task_counts_by_worker(step)
 
@@ -118,7 +119,7 @@
     def renewal_targets_ahead(
         self, missing_tasks: int, advice: StepAdvice, now: float
     ) -> list[WorkerId]:
-        """Return the workers of ``renewal_targets``, and other approved workers.
+        """Return the workers of ``renewal_targets``, and other workers with expired tickets.
 
         The other workers may gain free capacity while the new tickets are valid.  The fixed cost
         dominates a call about a few workers.  So a step that waits for capacity renews the tickets
@@ -174,7 +175,7 @@
         return max(0, min(tasks_allowed, self._free_capacity.slots(worker, self._step.needs)))
 
     def _total_slots(self, worker: Worker) -> int:
-        return min(self._task_limit, slots_within(worker.record.capacity, self._step.needs))
+        return min(self._task_limit, count_fitting_tasks(worker.record.capacity, self._step.needs))
 
 
 def call_interval_seconds(policy: AdvicePolicy, worker_count: int) -> float:
--- a/src/onyxspoke/core/placement/gang_placer.py
+++ b/src/onyxspoke/core/placement/gang_placer.py
@@ -27,8 +27,8 @@
 MIN_READY_MEMBER_SHARE = 0.6
 #: A ticket is renewed if it expires within this many seconds after the answer to a call.
 TICKET_RENEWAL_MARGIN_SECONDS = 0.1
-#: While a gang lacks most of its capacity, it asks about workers that became available only once
-#: in this many seconds, because no ticket can be renewed while the call is in progress.
+#: While a gang lacks much of its capacity, it asks about workers that it has not asked about yet at
+#: most once in this many seconds, because no ticket can be renewed while the call is in progress.
 UNKNOWN_WORKERS_INTERVAL_SECONDS = 3.0
 #: A gang that runs slower across racks waits for a single rack at most for this share of its
 #: estimated duration.
@@ -236,13 +236,13 @@
     workers of the same speed, those that can take the most members come first: the loss of any
     worker aborts the whole gang, so a gang should use few workers.
     """
-    failed_on = {task.failed_on for task in step.tasks}
+    last_failed_worker_id = {task.last_failed_worker_id for task in step.tasks}
     ranked = []
     for worker in workers:
-        count = min(step.most_on_a_worker, capacity.slots(worker, step.needs))
+        count = min(step.max_tasks_per_worker, capacity.slots(worker, step.needs))
         if count > 0:
             score = (
-                int(worker.worker_id in failed_on),
+                int(worker.worker_id in last_failed_worker_id),
                 int(worker.health.is_suspected(now)),
                 int(is_off_preferred_rack(worker, step)),
                 (NEUTRAL_SPEED_SCORE if preference is None else preference.score(worker)),
@@ -259,7 +259,7 @@
     step: StepProgress, workers: list[Worker], capacity: ScratchCapacity, now: float
 ) -> list[MemberSlots]:
     """Return how many additional members each worker will soon have capacity for."""
-    max_per_worker = step.most_on_a_worker
+    max_per_worker = step.max_tasks_per_worker
     slots_soon = []
     for worker in workers:
         freed = capacity_freed_soon(worker, now)
@@ -339,7 +339,7 @@
 
     The first call covers all workers, because a gang needs free capacity on many suitable workers
     at the same moment.  Later calls cover only workers with free capacity: workers that were not
-    asked about yet while the gang lacks slots, and, once most of its slots are there, suitable
+    asked about yet while the gang lacks slots, and, once it has most of its slots, suitable
     workers whose tickets are about to expire.
     """
     member_count = len(step.tasks)
--- a/src/onyxspoke/core/placement/placer.py
+++ b/src/onyxspoke/core/placement/placer.py
@@ -29,9 +29,9 @@
 from onyxspoke.core.placement.step_advice import StepAdvice
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
-from onyxspoke.core.tenants.ledger import QuotaPass
+from onyxspoke.core.tenants.quota_usage import QuotaBudget
 
-#: The largest number of tasks placed in one pass, which bounds the duration of a pass.
+#: A pass ends once it has placed at least this many tasks, which bounds its duration.
 MAXIMUM_PLACEMENTS = 200
 #: A step that waits for capacity is evaluated again after this many seconds.
 REEVALUATION_SECONDS = 0.2
@@ -49,8 +49,8 @@
 class Placer:
     """Places waiting tasks in the order of ``queue_order``.
 
-    A step that found no free capacity is evaluated again only when a worker that it may use has
-    gained capacity since: a pass therefore costs little, however long the waiting queue is.  A
+    A step that found no free capacity is evaluated again when a worker that it may use has gained
+    capacity, and otherwise only at intervals, so that a pass over a long queue costs little.  A
     waiting gang reserves the capacity that it could use, so that steps behind it do not use it.
     """
 
@@ -77,7 +77,7 @@
         #: The earliest time of the next evaluation of each gang without a reservation.
         self._gang_reevaluate_at: dict[StepKey, float] = {}
         self._overlooked: list[StepProgress] = []
-        #: Steps that their tenants' quotas began to hold back since the last call.
+        #: Steps that began to wait for their tenants' quotas since the last call.
         self._newly_over_quota: list[StepProgress] = []
 
     def take_preemption_requests(self) -> list[PreemptionRequest]:
@@ -89,12 +89,12 @@
         return preemption_requests
 
     def take_overlooked(self) -> list[StepProgress]:
-        """Return the steps that only the sweep found startable since the last call."""
+        """Return the steps, since the last call, that only the sweep started."""
         overlooked, self._overlooked = self._overlooked, []
         return overlooked
 
     def take_newly_over_quota(self) -> list[StepProgress]:
-        """Return the steps that their tenants' quotas began to hold back since the last call."""
+        """Return the steps that began to wait for their tenants' quotas since the last call."""
         steps, self._newly_over_quota = self._newly_over_quota, []
         return steps
 
@@ -107,7 +107,7 @@
         self._blocked_at_change.clear()
 
     def plan(
-        self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaPass, now: float
+        self, steps: list[StepProgress], policy: PolicySet, quotas: QuotaBudget, now: float
     ) -> list[StepPlacement]:
         """Return the tasks that start now, with their workers.
 
@@ -129,7 +129,7 @@
         ):
             max_tasks = _tasks_within_quota(step, quotas)
             was_over_quota = step.over_quota_since is not None
-            if step.note_quota(max_tasks == 0, now):
+            if step.set_over_quota(max_tasks == 0, now):
                 self._newly_over_quota.append(step)
             if max_tasks == 0:
                 self._reservations.release(step.key)
@@ -280,7 +280,7 @@
             for worker in eligible_workers
             if has_label(worker, step)
             and not worker.health.is_suspected(placement_pass.now)
-            and counts.get(worker.worker_id, 0) < step.most_on_a_worker
+            and counts.get(worker.worker_id, 0) < step.max_tasks_per_worker
         ]
         total_processors_milli = schedulable.processors_milli
         self._capacity_seeker.reserve_or_preempt(
@@ -331,8 +331,8 @@
         return schedulable
 
 
-def _tasks_within_quota(step: StepProgress, quotas: QuotaPass) -> int:
-    """Return how many waiting tasks of a step its tenant may start; of a gang all, or none."""
+def _tasks_within_quota(step: StepProgress, quotas: QuotaBudget) -> int:
+    """Return how many waiting tasks of a step its tenant may start; for a gang, all or none."""
     tenant = step.job.spec.tenant
     if not tenant:
         return len(step.waiting)
@@ -362,7 +362,7 @@
     now: float,
     advice_dispatcher: AdviceDispatcher,
 ) -> list[str]:
-    """Return the workers for which tickets are missing that would let ``max_tasks`` tasks start."""
+    """Return the workers to ask about, so that ``max_tasks`` tasks can start with their tickets."""
     if not advice.tickets:
         return target_selector.first_targets(max_tasks, advice)
     missing_count = max_tasks - sum(target_selector.free_slots(item.worker) for item in candidates)
--- a/src/onyxspoke/core/placement/reservations.py
+++ b/src/onyxspoke/core/placement/reservations.py
@@ -1,8 +1,8 @@
 """Reservations of free capacity for waiting gangs and steps.
 
-A gang starts only when every member has free capacity.  Without reservations smaller tasks would
+A gang starts only when every member has free capacity.  Without reservations, smaller tasks would
 start ahead of it again and again, and a large gang would wait for as long as the cell is busy.
-Each time a step is evaluated its reservation is recomputed; passes that skip the step repeat the
+Each time a step is evaluated, its reservation is recomputed; passes that skip the step repeat the
 same reservation.
 """
 
@@ -10,9 +10,9 @@
 
 from dataclasses import dataclass
 
-from onyxspoke.core.jobs.amounts import slots_within
 from onyxspoke.core.jobs.model import StepKey
 from onyxspoke.core.jobs.progress import StepProgress
+from onyxspoke.core.jobs.resource_vectors import count_fitting_tasks
 from onyxspoke.core.placement.scratch_capacity import ScratchCapacity
 from onyxspoke.core.placement.worker_table import WorkerTable
 from onyxspoke.core.placement.workers import Worker
@@ -53,7 +53,7 @@
         return key in self._reservations
 
     def reserved_since(self, key: StepKey) -> float | None:
-        """Return since when a step has had a reservation, or ``None`` if it has none."""
+        """Return when a step's reservation began, or ``None`` if it has none."""
         reservation = self._reservations.get(key)
         return None if reservation is None else reservation.since
 
@@ -87,7 +87,10 @@
             self.release(key)
 
     def may_reserve_more(self, total_processors_milli: int) -> bool:
-        """Return whether one more step may reserve capacity in a service of this size."""
+        """Return whether one more step may reserve capacity in a service of this size.
+
+        The reservations in all services are counted.
+        """
         reserved_milli = sum(
             reservation.processors_milli for reservation in self._reservations.values()
         )
@@ -103,5 +106,5 @@
 def can_ever_fit(step: StepProgress, workers: list[Worker]) -> bool:
     """Return whether a whole gang fits on these workers when nothing else runs there."""
     needs = step.needs
-    slot_count = sum(slots_within(worker.record.capacity, needs) for worker in workers)
+    slot_count = sum(count_fitting_tasks(worker.record.capacity, needs) for worker in workers)
     return slot_count >= len(step.tasks)
--- a/src/onyxspoke/core/placement/runs.py
+++ b/src/onyxspoke/core/placement/runs.py
@@ -1,19 +1,19 @@
-"""Runs of tasks on workers, single runs and the runs of gangs."""
+"""Runs of tasks on workers: single runs, and the runs of gangs."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from onyxspoke.core.estimates.evidence import RunEvidence, estimated_seconds
-from onyxspoke.core.jobs.model import Needs, RunKey
+from onyxspoke.core.estimates.evidence import ObservedRunPace, estimated_seconds
+from onyxspoke.core.jobs.model import ResourceVector, RunKey
 from onyxspoke.core.jobs.progress import StepProgress, TaskProgress
 from onyxspoke.core.jobs.states import RunState, check_run_transition
 
 if TYPE_CHECKING:
     from onyxspoke.core.placement.workers import Worker
 
-#: A run has stalled once it made no progress for this many seconds plus this share of its expected
-#: duration.
+#: A run has stalled once it has made no progress for this many seconds plus this share of its
+#: expected duration.
 STALL_SECONDS = 1.6
 STALL_ESTIMATE_SHARE = 0.2
 #: Additional seconds that a gang may take until its members report their first progress.
@@ -59,7 +59,7 @@
 
 
 class Run:
-    """One execution of a task on a worker; it holds the worker's capacity until it has ended.
+    """One execution of a task on a worker; it holds capacity of the worker until it has ended.
 
     Attributes
     ----------
@@ -83,7 +83,7 @@
     usage : int
         A coarse figure that the worker reports: the processors in use or, for a serving task, its
         tail latency in milliseconds.
-    evidence : RunEvidence or None
+    evidence : ObservedRunPace or None
         What the progress of the run shows about task durations.
     pace_percent, ordered_pace_percent : int
         The share of full speed at which a filler run may work: the value that the worker last
@@ -125,7 +125,7 @@
         self.task = task
         self.number = number
         self.worker = worker
-        self.needs: Needs = task.step.needs
+        self.needs: ResourceVector = task.step.needs
         self.state = RunState.PLANNED
         self.gang = gang
         self.start_valid_until_ms = 0
@@ -137,7 +137,7 @@
         self.stop_answered_at = 0.0
         self.percent = 0
         self.is_resumed = False
-        self.evidence: RunEvidence | None = None
+        self.evidence: ObservedRunPace | None = None
         self.progressed_at = now
         self.usage = 0
         self.pace_percent = 100
@@ -153,7 +153,7 @@
 
     @property
     def expected_seconds(self) -> float:
-        """The expected duration of the whole task on its worker; of a gang, its slowest member."""
+        """The expected duration of the whole task; for a gang, on the slowest of its workers."""
         if self.gang is None:
             factor = self.worker.speed.factor
         else:
--- a/src/onyxspoke/core/placement/worker_speed_preference.py
+++ b/src/onyxspoke/core/placement/worker_speed_preference.py
@@ -1,4 +1,4 @@
-"""Prefer workers for a step by their speed, so that fast workers serve the steps short of time."""
+"""Prefer workers by their speed, so that fast workers are left to steps that lack time."""
 
 from __future__ import annotations
 
@@ -20,10 +20,8 @@
     """The speed components of a worker's score; the lowest is best.
 
     ``lateness_penalty`` is 0 if the job can meet its objective on the worker; otherwise it is
-    higher for
-    slower workers.  ``fast_worker_penalty`` is higher for faster workers on which the job meets its
-    objective,
-    so that steps with slack leave the fast workers to others.
+    higher for slower workers.  ``fast_worker_penalty`` is higher for faster workers on which the
+    job meets its objective, so that steps with slack leave the fast workers to other steps.
     """
 
     lateness_penalty: int
@@ -39,7 +37,7 @@
 
     def __init__(self, step: StepProgress, now: float) -> None:
         objective_at = step.due_at + step.job.expected_objective_seconds
-        slack_seconds = objective_at - now - step.expected_chain_seconds
+        slack_seconds = objective_at - now - step.expected_remaining_path_seconds
         step_seconds = step.expected_seconds
         self._max_factor = (
             1.0 + SLACK_SHARE * slack_seconds / step_seconds if step_seconds > 0.0 else 1.0
@@ -57,7 +55,7 @@
 def speed_preference(
     step: StepProgress, workers: Iterable[Worker], is_on: bool, now: float
 ) -> SpeedPreference | None:
-    """Return the speed preference of a step, or ``None`` if all workers count as equally fast."""
+    """Return the speed preference of a step, or ``None`` if worker speeds do not matter for it."""
     if not is_on or step.spec.long_running or all(worker.speed.factor == 1.0 for worker in workers):
         return None
     return SpeedPreference(step, now)
--- a/src/onyxspoke/core/rendezvous.py
+++ b/src/onyxspoke/core/rendezvous.py
@@ -1,6 +1,6 @@
 """Rendezvous hashing: every node picks the same candidate for a name.
 
-When a candidate goes, only the names it held move; source: Thaler and Ravishankar,
+When a candidate is removed, only the names assigned to it move; source: Thaler and Ravishankar,
 "Using name-based mappings to increase hit rates", 1998.
 """
 
@@ -11,7 +11,7 @@
 import xxhash
 
 
-def preferred(name: str, candidates: Iterable[str]) -> str | None:
+def choose_by_rendezvous_hash(name: str, candidates: Iterable[str]) -> str | None:
     """Return the candidate with the highest hash for a name, ``None`` if there is none."""
     best: tuple[int, str] | None = None
     for candidate in candidates:
--- a/src/onyxspoke/core/shard/actions.py
+++ b/src/onyxspoke/core/shard/actions.py
@@ -10,7 +10,7 @@
 from onyxspoke.core.shard.calls import CallReply
 from onyxspoke.core.shard.layout import CellLayout
 from onyxspoke.core.shard.log_records import ShardAppend, ShardId
-from onyxspoke.core.tenants.bank import QuotaRequest
+from onyxspoke.core.tenants.quota_lender import QuotaRequest
 
 Token = int
 FieldValue = str | int | float
@@ -38,7 +38,7 @@
 class SendHold(msgspec.Struct, frozen=True):
     """Fence a worker, extend its lease, and ask which runs are active and which have ended.
 
-    ``acknowledged_through`` is the number of the last end of a run that the holder has recorded.
+    ``acknowledged_through`` is the number of the last end that the holder has recorded.
     ``until_ms`` is the new end of the lease, 0 if the lease is not extended.  ``wait_ms`` is the
     longest time for which the worker may delay its answer until a run ends.
     """
@@ -125,7 +125,7 @@
 
 
 class JobStarted(msgspec.Struct, frozen=True):
-    """Count a job in the metrics once a worker has received its first run."""
+    """Count a job in the metrics when a worker confirms a run of the job for the first time."""
 
     queue: str
     tenant: str
@@ -133,7 +133,7 @@
 
 
 class ReturnOutcome(Enum):
-    """Outcome of a refused caller's repeated submission."""
+    """Outcome of submitting a job again after a refusal."""
 
     ON_TIME = "on_time"
     EARLY_OR_LATE = "early_or_late"
@@ -148,7 +148,7 @@
 
 
 class AdviceRequested(msgspec.Struct, frozen=True):
-    """Count in the metrics a call that left the advice queue after a number of seconds."""
+    """Count in the metrics an advice call that was sent; ``seconds`` is its time in the queue."""
 
     queue: str
     tenant: str
--- a/src/onyxspoke/core/shard/call_handler.py
+++ b/src/onyxspoke/core/shard/call_handler.py
@@ -1,9 +1,9 @@
 """Handling of client calls at a shard's holder.
 
 A call that changes state is answered once its record is committed.  While the store does not
-answer, the holder accepts no new jobs.  It refuses each job that is not part of any sent append,
-and answers cancels, and queries for jobs that it does not know, as unknown.  It sends both answers
-at once, so that the caller can retry elsewhere or later.
+answer, the holder accepts no new jobs.  It refuses each submitted job that no sent append contains.
+To a cancel, and to a query about a job without a committed state, it replies ``UNKNOWN``.  It does
+not wait for the store before these replies, so that the caller can retry elsewhere or later.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 
 from onyxspoke.core.admission.refused_jobs import RefusedJob
-from onyxspoke.core.jobs.book import Submission
+from onyxspoke.core.jobs.job_registry import SubmissionOutcome
 from onyxspoke.core.jobs.model import JobId, JobSpec, QueuePolicy
 from onyxspoke.core.jobs.progress import JobProgress
 from onyxspoke.core.shard.actions import ReplyToCall
@@ -31,9 +31,10 @@
 from onyxspoke.core.shard.context import ShardContext
 from onyxspoke.core.shard.quota_coordinator import QuotaCoordinator
 from onyxspoke.core.shard.run_manager import RunManager
-from onyxspoke.core.tenants.keys import may_see
+from onyxspoke.core.tenants.keys import may_access_job
 
-#: Calls that wait for an append are answered as unknown after this time without its answer.
+#: A cancel or query that waits for an append gets the reply ``UNKNOWN`` if the store has not
+#: answered the append for this long.
 STORE_SILENCE_SECONDS = 0.4
 #: Number of workers assumed when the duration of one advice call is derived from a queue's policy.
 ASSUMED_ADVICE_WORKERS = 30
@@ -70,7 +71,7 @@
         self._admission = admission
         #: Pending replies to submissions whose job is not part of any sent append.
         self._unsent_submissions: dict[int, _PendingReply] = {}
-        #: Pending replies that wait for an append, and are "unknown" if the store stays silent.
+        #: Pending replies that wait for an append; they are ``UNKNOWN`` if the store stays silent.
         self._awaiting_store: dict[int, _PendingReply] = {}
 
     def handle_call(self, call_id: int, call: Call, now: float) -> None:
@@ -110,7 +111,7 @@
         job_registry = context.job_registry
         job_id = spec.job_id
         known_job = job_registry.jobs.get(job_id)
-        if known_job is not None and not may_see(known_job.spec.tenant, spec.tenant):
+        if known_job is not None and not may_access_job(known_job.spec.tenant, spec.tenant):
             self._refuse(_PendingReply(context, call_id, job_id), _OTHER_TENANT)
             return
         if known_job is not None and known_job.committed_state is not None:
@@ -138,7 +139,7 @@
                 return
         outcome = job_registry.submit(spec, now, first_submitted_at)
         context.needs_placement = True
-        if outcome is Submission.NEW:
+        if outcome is SubmissionOutcome.NEW:
             self._log_job_taken(spec)
         pending = _PendingReply(context, call_id, job_id, "job_accepted")
         if job_id in job_registry.dirty:
@@ -148,18 +149,18 @@
     def _with_share_mark(
         self, spec: JobSpec, earlier_refusal: RefusedJob | None, now: float
     ) -> JobSpec:
-        """Return a new job with the mark whether it is within its tenant's fair share.
+        """Return a copy of a new job, marked as within or over its tenant's fair share.
 
-        A job that was refused before keeps the mark of its first submission until its last useful
-        time.  Otherwise the retries of jobs over the share would use up the share of the tenant's
-        later jobs.
+        A job that was refused before keeps the mark of its first submission until the job expires.
+        Otherwise the retries of jobs over the share would use up the share of the tenant's later
+        jobs.
         """
         context = self._context
         policy = context.policy.tenants.get(spec.tenant)
         if earlier_refusal is not None and now <= earlier_refusal.expires_at:
             is_entitled = earlier_refusal.is_entitled
         else:
-            is_entitled = context.shares.take(policy, context.shard_count, now)
+            is_entitled = context.share_meter.consume(policy, context.shard_count, now)
         return msgspec.structs.replace(spec, is_over_share=not is_entitled)
 
     def _log_job_taken(self, spec: JobSpec) -> None:
@@ -215,7 +216,7 @@
         register_effect: Callable[[Callable[[float], None]], None],
         now: float,
     ) -> None:
-        """Reply once the store has acknowledged an append, or "unknown" if the store is silent."""
+        """Reply once the store acknowledges an append; reply ``UNKNOWN`` if it is silent."""
         pending = _PendingReply(self._context, call_id, job_id)
         if self._is_store_silent(now):
             pending.answer(_unknown_reply(self._retry_seconds))
--- a/src/onyxspoke/core/shard/context.py
+++ b/src/onyxspoke/core/shard/context.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from onyxspoke.core.estimates.durations import Durations
-from onyxspoke.core.jobs.book import JobBook
+from onyxspoke.core.estimates.durations import DurationEstimator
+from onyxspoke.core.jobs.job_registry import JobRegistry
 from onyxspoke.core.jobs.policy import PolicySet
 from onyxspoke.core.placement.advice_dispatcher import AdviceDispatcher
 from onyxspoke.core.placement.worker_table import WorkerTable
@@ -24,9 +24,9 @@
 from onyxspoke.core.shard.layout import CellLayout
 from onyxspoke.core.shard.load_options import LoadOptions
 from onyxspoke.core.shard.log_records import ShardId
-from onyxspoke.core.tenants.bank import QuotaBank
-from onyxspoke.core.tenants.ledger import QuotaLedger
-from onyxspoke.core.tenants.shares import ShareMeter
+from onyxspoke.core.tenants.quota_lender import QuotaLender
+from onyxspoke.core.tenants.quota_usage import QuotaUsage
+from onyxspoke.core.tenants.share_meter import ShareMeter
 
 _MILLISECONDS = 1_000.0
 
@@ -45,17 +45,18 @@
     repetition_lead_ms : float
         Longest time by which a repetition may start before its scheduled time.
     start_validity_ms : int
-        Time after which a start order that a worker has not carried out expires.
+        Time after which a start order expires if the worker has not carried it out.
     hold_wait_ms : int
         Longest time for which a worker may delay its answer until a run ends.
     hold_interval_seconds : float
-        Pause between two holds to a worker, so that one hold reports ends close together.
+        Pause between two holds to a worker, so that one answer reports several ends that occur
+        close together.
     ownership_proof_seconds : float
         Time after the latest proof of ownership during which the holder may send orders.
     refusal_retry_seconds : float
         Time after which a refused caller is asked to retry.
     load : LoadOptions
-        Components that handle overload.
+        Options for the handling of overload.
     """
 
     maximum_hold_ms: int = 6_000
@@ -88,14 +89,16 @@
     def __init__(self, options: ShardOptions, token: int, shard: ShardId = 0) -> None:
         self.options = options
         self.token = token
-        self.durations = Durations(options.load.learned_estimates)
-        self.job_registry = JobBook(options.finished_job_retention_seconds, self.durations.work_of)
+        self.durations = DurationEstimator(options.load.learned_estimates)
+        self.job_registry = JobRegistry(
+            options.finished_job_retention_seconds, self.durations.work_model_for
+        )
         self.table = WorkerTable()
         self.advice_dispatcher = AdviceDispatcher(shard, options.load.advice_shares)
         self.shard = shard
-        self.ledger = QuotaLedger()
-        self.bank = QuotaBank(shard)
-        self.shares = ShareMeter()
+        self.quota_usage = QuotaUsage()
+        self.quota_lender = QuotaLender(shard)
+        self.share_meter = ShareMeter()
         #: Number of shards of the cell; the shards share every tenant's quota and weight.
         self.shard_count = 1
         self.policy = PolicySet()
@@ -103,11 +106,11 @@
         self.actions: list[ShardAction] = []
         self.needs_placement = False
         self.has_stepped_down = False
-        #: Layout of a new cell that is not part of any append yet.
+        #: Layout of a new cell, until an append contains it; otherwise ``None``.
         self.uncommitted_layout: CellLayout | None = None
         #: Time until which no node can claim the shard, because no node reaches the store.
         self.unclaimable_until = 0.0
-        #: Offset from the holder's clock to the time of day, in milliseconds, or ``None``.
+        #: Offset from the holder's clock to the time of day, in milliseconds; ``None`` if unknown.
         self.wall_offset_ms: float | None = None
         #: When the process last found that it had been stalled; another node may have claimed the
         #: shard before that time.
--- a/src/onyxspoke/core/shard/election.py
+++ b/src/onyxspoke/core/shard/election.py
@@ -1,9 +1,9 @@
 """Leader election for one shard: nodes find, follow, monitor and replace the shard's holder.
 
 A node claims a shard with a conditional append to the shard's partition.  The store accepts the
-append only if the partition still ends where the claimant last read its end.  The epoch of the
-claim is that end plus one.  The epoch fences the writes of all earlier holders and is the fencing
-token of the new holder's orders; epochs are therefore unique and increasing.
+append only if the partition still ends at the offset that the claimant last read.  The epoch of
+the claim is that offset plus one; epochs are therefore unique and increasing.  The epoch fences the
+writes of all earlier holders, and is the fencing token of the new holder's orders.
 """
 
 from __future__ import annotations
@@ -43,7 +43,8 @@
 IDLE_PARTITION_SECONDS = 0.6
 #: Pause before a node whose claims are deferred reads the claim again.
 DEFERRED_RETRY_SECONDS = 0.8
-#: Delay between the turns of two successive claimants, and the longest delay of any turn.
+#: Delay between the turns of two successive claimants, and the longest delay of any turn apart
+#: from the random spread.
 TURN_INTERVAL_SECONDS = 0.1
 MAXIMUM_TURN_DELAY_SECONDS = 1.0
 #: Interval at which a node that waits for its turn checks whether another node has claimed.
@@ -55,7 +56,7 @@
 #: Small nodes delay their first claim by this time, so that larger nodes can claim before them.
 SMALL_NODE_DELAY_SECONDS = 0.1
 CLAIM_RETRY_SECONDS = 0.1
-#: After this many unanswered attempts a node stops sending its claim and reads the claim back.
+#: After this many unanswered or refused attempts to append its claim, a node reads the claim.
 MAXIMUM_CLAIM_ATTEMPTS = 8
 #: A follower suspects its holder after this time without a heartbeat, or after this many
 #: heartbeat intervals if they are longer.
@@ -154,7 +155,7 @@
     def handle_claim_read(
         self, is_answered: bool, claim: ClaimRecord | None, end: int, now: float
     ) -> None:
-        """Handle the store's answer to a read of the claim and the end, or its absence."""
+        """Handle the answer to a read of the claim and of the partition's end, or its absence."""
         self._is_read_pending = False
         if self.state in (ElectionState.HOLDING, ElectionState.CLAIMING):
             return
--- a/src/onyxspoke/core/shard/run_starter.py
+++ b/src/onyxspoke/core/shard/run_starter.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxspoke.core.jobs.model import RunKey
-from onyxspoke.core.jobs.progress import StepProgress, checkpoint_of
+from onyxspoke.core.jobs.progress import StepProgress, resume_checkpoint
 from onyxspoke.core.jobs.states import RunEnd, RunState
 from onyxspoke.core.placement.isolation import isolate_worker_of
 from onyxspoke.core.placement.runs import GangRun, Run, task_log_name
@@ -51,7 +51,8 @@
         """Reserve capacity for the tasks of a step; order the starts once they are recorded.
 
         Without the record, a new holder would not know which tasks an unreachable worker may be
-        running, and could start no waiting task until that worker's lease has expired.
+        running, and could start no waiting task until that worker's lease has expired.  If a
+        network failure cuts off a zone and the holder in it, that would stop nearly all starts.
         """
         step = plan.step
         gang = None
@@ -69,15 +70,15 @@
         """Create a run for one task, and reserve capacity for it."""
         task, worker = placement.task, placement.worker
         run = Run(task, number, worker, now, gang)
-        run.is_resumed = bool(checkpoint_of(task))
+        run.is_resumed = bool(resume_checkpoint(task))
         task.run = run
         self._run_manager.reserve_capacity(run)
-        self._context.job_registry.task_started(task)
+        self._context.job_registry.task_activated(task)
         isolate_worker_of(run, now)
         return run
 
     def order_starts(self, runs: list[Run], now: float) -> None:
-        """Order starts that are recorded now; the starts of a gang are ordered all or none."""
+        """Order starts whose records are committed; for a gang, order either all starts or none."""
         startable = [run for run in runs if self._may_start(run, now)]
         withdrawn = [run for run in runs if run not in startable]
         if withdrawn and runs[0].gang is not None:
@@ -90,7 +91,7 @@
             self._send_start(run, now)
 
     def _may_start(self, run: Run, now: float) -> bool:
-        """Return whether a planned run may still be started."""
+        """Return whether a run is still planned and may be started now."""
         context = self._context
         worker = run.worker
         return (
@@ -105,7 +106,7 @@
         )
 
     def _ticket_for(self, run: Run, now: float) -> str | None:
-        """Return the ticket for a run; empty if its queue needs none, None if there is none."""
+        """Return a run's ticket: empty if its queue needs none, None if a needed one is missing."""
         step = run.task.step
         if self._context.policy.queue_of(step.job.spec).advice is None:
             return ""
@@ -141,7 +142,7 @@
                 run=run.key,
                 payload=job.spec.payload,
                 until_ms=run.start_valid_until_ms,
-                checkpoint=checkpoint_of(task),
+                checkpoint=resume_checkpoint(task),
                 ticket=self._ticket_for(run, now) or "",
             )
         )
@@ -149,7 +150,7 @@
     def handle_start_result(
         self, worker: Worker, key: RunKey, result: OrderResult, now: float
     ) -> None:
-        """Handle the result of an order to start, which may be missing."""
+        """Handle a worker's answer to a start order, or its absence."""
         run = worker.runs.get(key)
         outcome = result.outcome
         if outcome is OrderOutcome.DONE:
@@ -183,8 +184,8 @@
 
     def _next_run_number(self, step: StepProgress) -> int:
         first_number_of_token = self._context.token * RUN_NUMBERS_PER_TOKEN
-        step.last_number = max(step.last_number + 1, first_number_of_token)
-        return step.last_number
+        step.last_run_number = max(step.last_run_number + 1, first_number_of_token)
+        return step.last_run_number
 
 
 class _SendStartsAfterCommit:
--- a/src/onyxspoke/core/shard/worker_registry.py
+++ b/src/onyxspoke/core/shard/worker_registry.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs, WorkerId
+from onyxspoke.core.jobs.model import ResourceVector, WorkerId
 from onyxspoke.core.placement.worker_clock import SLOWEST_CLOCK_FACTOR
 from onyxspoke.core.placement.worker_record import (
     EntryFault,
@@ -77,7 +77,7 @@
         is_complete: bool,
         now: float,
     ) -> None:
-        """Process a listing of the directory; workers missing from a complete one are gone."""
+        """Process a listing of the directory; a worker missing from a complete listing is gone."""
         for record in records:
             self._process_entry(record, now)
         for entry in unusable:
@@ -132,7 +132,8 @@
     def _process_entry(self, record: WorkerRecord, now: float) -> None:
         worker = self._context.table.workers.get(record.worker_id)
         if worker is not None and worker.born_ms and not record.born_ms:
-            # All entries that the worker itself writes contain its start time.
+            # All entries that the worker itself writes contain its start time, so another program
+            # wrote this one.
             self._mark_unusable(UnusableEntry(record.worker_id, EntryFault.NO_START_TIME))
             return
         if worker is not None and record.born_ms in worker.previous_starts_ms:
@@ -189,14 +190,14 @@
 
         It gets runs only once the directory has an entry of it.
         """
-        # The new incarnation may execute an unanswered order to the previous one, and run its task
-        # for one lease.
+        # The new incarnation may execute an order that the previous one has not answered, and run
+        # the ordered task for one lease.
         previous_lease_expires_at = now + self._maximum_lease_seconds() + LEASE_MARGIN_SECONDS
         worker = Worker(previous.record, previous_lease_expires_at)
         worker.born_ms = born_ms
         starts_ms = (*previous.previous_starts_ms, previous.born_ms)
         worker.previous_starts_ms = starts_ms[-MAX_PREVIOUS_STARTS:]
-        worker.speed = self._context.durations.begin_life(
+        worker.speed = self._context.durations.begin_incarnation(
             worker.worker_id, born_ms, worker.record.kind, now
         )
         self._load_unresolved_starts(worker, now)
@@ -218,7 +219,7 @@
         """Return the longest lease that a worker grants, in seconds of the holder's clock."""
         return self._context.options.maximum_hold_ms / _MILLISECONDS * SLOWEST_CLOCK_FACTOR
 
-    def _update_capacity(self, worker: Worker, capacity: Needs) -> None:
+    def _update_capacity(self, worker: Worker, capacity: ResourceVector) -> None:
         """Handle a change of a worker's capacity."""
         previous = worker.record.capacity
         _log_worker(
@@ -233,12 +234,13 @@
             former_gpu=previous.accelerators,
             runs=len(worker.runs),
         )
-        # A step that found no free capacity checks only workers that have gained some since.
+        # A step that did not fit on any worker checks only the workers whose free capacity has
+        # grown since then.
         self._context.table.note_capacity_gain(worker)
 
     def _add(self, record: WorkerRecord, now: float) -> Worker:
         worker = Worker(record, self._previous_leases_until)
-        worker.speed = self._context.durations.begin_life(
+        worker.speed = self._context.durations.begin_incarnation(
             record.worker_id, record.born_ms, record.kind, now
         )
         self._context.table.workers[record.worker_id] = worker
--- a/src/onyxspoke/core/tenants/policy.py
+++ b/src/onyxspoke/core/tenants/policy.py
@@ -1,26 +1,26 @@
-"""Tenants as the operator configures them."""
+"""The configuration of a tenant."""
 
 from __future__ import annotations
 
 import msgspec
 
-from onyxspoke.core.jobs.model import Needs
+from onyxspoke.core.jobs.model import ResourceVector
 
 TenantName = str
 
 
 class TenantPolicy(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """One tenant.
+    """The configured weight and quota of one tenant.
 
     Attributes
     ----------
     weight : float
-        Its share when all is full: so many jobs a second come before what others send beyond
-        their own weights.
-    quota : Needs
-        What it may have running over all workers; an amount of 0 sets no limit.
+        The tenant's fair share in jobs per second: in a full cell, jobs within this share go
+        before jobs of tenants that are over theirs.
+    quota : ResourceVector
+        The resources that the tenant's runs may use on all workers; an amount of 0 sets no limit.
     """
 
     name: TenantName
     weight: float = 1.0
-    quota: Needs = Needs()
+    quota: ResourceVector = ResourceVector()
